--- a/crates/thistlesill-core/src/chart.rs
+++ b/crates/thistlesill-core/src/chart.rs
@@ -1,9 +1,8 @@
-//! State charts that are written in files and interpreted here.
+//! State machines that are read from files and run from a transition table.
 //!
-//! A chart names its states and, for each state, what every event does:
-//! another state's name, `stay`, or `refuse`. A chart is refused when it
-//! names an unknown state or event, leaves out a pair, or has a state that
-//! cannot be reached.
+//! A chart file names the start state and, for each state, the effect of every event: the
+//! name of the next state, `stay` or `refuse`. A file is rejected if it names an unknown
+//! state or event, leaves out a pair of state and event, or has an unreachable state.
 
 use std::collections::BTreeMap;
 use std::fmt::Debug;
@@ -13,19 +12,20 @@
 
 use crate::jsonc::{self, JsoncError};
 
-/// A closed set of names that a chart's file refers to.
+/// A fixed set of states or events that a chart file refers to by name.
 pub trait Symbol: Copy + Eq + Debug + 'static {
-    /// All members in order.
+    /// All variants in the order of their definition.
     const ALL: &'static [Self];
 
-    /// The name in the file.
+    /// Returns the name used in chart files.
     fn name(self) -> &'static str;
 
-    /// The position in [`Symbol::ALL`].
+    /// Returns the position in [`Symbol::ALL`].
     fn index(self) -> usize;
 }
 
-/// Defines an enum whose members are named in a chart's file.
+/// Defines an enum that implements [`Symbol`](crate::chart::Symbol), with each variant's name in
+/// chart files.
 #[macro_export]
 macro_rules! symbols {
     ($(#[$meta:meta])* $name:ident { $($(#[$doc:meta])* $member:ident = $text:literal,)* }) => {
@@ -50,52 +50,52 @@
     };
 }
 
-/// Why a chart's file was refused.
+/// The reason why a chart file was rejected.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum ChartError {
-    /// The file is no JSON with comments, or has a wrong shape.
+    /// The file is not valid JSON with comments, or does not have the structure of a chart.
     #[snafu(display("chart {chart}: {source}"))]
     Syntax {
-        /// The chart.
+        /// Name of the chart.
         chart: &'static str,
-        /// What is wrong.
+        /// Position and description of the error.
         source: JsoncError,
     },
-    /// A name in the file is not in the code.
+    /// The file names a state or event that the code does not define.
     #[snafu(display("chart {chart}: unknown name `{word}`"))]
     Unknown {
-        /// The chart.
+        /// Name of the chart.
         chart: &'static str,
-        /// The word.
+        /// The unknown name.
         word: String,
     },
-    /// A state does not say what an event does.
+    /// The file does not define the effect of an event in a state.
     #[snafu(display("chart {chart}: state `{state}` does not say what `{event}` does"))]
     Missing {
-        /// The chart.
+        /// Name of the chart.
         chart: &'static str,
         /// The state.
         state: &'static str,
-        /// The event.
+        /// The event without a transition.
         event: &'static str,
     },
-    /// No run of events leads to a state.
+    /// No sequence of events leads from the start state to a state.
     #[snafu(display("chart {chart}: state `{state}` cannot be reached"))]
     Unreachable {
-        /// The chart.
+        /// Name of the chart.
         chart: &'static str,
-        /// The state.
+        /// The unreachable state.
         state: &'static str,
     },
 }
 
-/// An event that the chart refuses in a state.
+/// The error for an event that the chart does not allow in the current state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 #[snafu(display("event {event} refused in state {state}"))]
 pub struct Refused {
-    /// The state.
+    /// Name of the current state.
     pub state: &'static str,
-    /// The event.
+    /// Name of the refused event.
     pub event: &'static str,
 }
 
@@ -107,84 +107,84 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Next<S> {
+enum Transition<S> {
     To(S),
     Stay,
     Refuse,
 }
 
-/// A checked chart over states `S` and events `E`.
+/// A validated state machine with states `S` and events `E`.
 #[derive(Debug, Clone)]
 pub struct Chart<S: Symbol, E: Symbol> {
     start: S,
-    table: Vec<Next<S>>,
+    table: Vec<Transition<S>>,
     events: std::marker::PhantomData<E>,
 }
 
 impl<S: Symbol, E: Symbol> Chart<S, E> {
-    /// Reads and checks a chart's text.
+    /// Parses and validates the text of a chart file; `chart` names the chart in errors.
     ///
     /// # Errors
     ///
-    /// A [`ChartError`] for a wrong shape, an unknown name, a missing pair or
-    /// an unreachable state.
+    /// Returns a [`ChartError`] for a syntax error, an unknown name, a missing pair of state and
+    /// event, or an unreachable state.
     pub fn parse(chart: &'static str, text: &str) -> Result<Self, ChartError> {
         let file: ChartFile =
             jsonc::from_str(text).map_err(|source| ChartError::Syntax { chart, source })?;
-        let start = find::<S>(chart, &file.start)?;
+        let start = find_symbol::<S>(chart, &file.start)?;
         let mut table = vec![None; S::ALL.len() * E::ALL.len()];
         for (state_name, row) in &file.states {
-            let state = find::<S>(chart, state_name)?;
+            let state = find_symbol::<S>(chart, state_name)?;
             for (event_name, target) in row {
-                let event = find::<E>(chart, event_name)?;
-                table[slot::<S, E>(state, event)] = Some(parse_next(chart, target)?);
+                let event = find_symbol::<E>(chart, event_name)?;
+                table[table_index::<S, E>(state, event)] = Some(parse_transition(chart, target)?);
             }
         }
-        let table = complete::<S, E>(chart, &table)?;
-        let chart_value = Self {
+        let table = require_all_pairs::<S, E>(chart, &table)?;
+        let parsed = Self {
             start,
             table,
             events: std::marker::PhantomData,
         };
-        chart_value.check_reach(chart)?;
-        Ok(chart_value)
+        parsed.check_reachability(chart)?;
+        Ok(parsed)
     }
 
-    /// The state to begin in.
+    /// Returns the start state.
     pub const fn start(&self) -> S {
         self.start
     }
 
-    /// The state after an event.
+    /// Returns the state that follows `state` after `event`.
     ///
     /// # Errors
     ///
-    /// [`Refused`] if the chart refuses the event in this state.
+    /// Returns [`Refused`] if the chart refuses the event in this state.
     pub fn step(&self, state: S, event: E) -> Result<S, Refused> {
-        match self.table[slot::<S, E>(state, event)] {
-            Next::To(next) => Ok(next),
-            Next::Stay => Ok(state),
-            Next::Refuse => Err(Refused {
+        match self.table[table_index::<S, E>(state, event)] {
+            Transition::To(next) => Ok(next),
+            Transition::Stay => Ok(state),
+            Transition::Refuse => Err(Refused {
                 state: state.name(),
                 event: event.name(),
             }),
         }
     }
 
-    fn check_reach(&self, chart: &'static str) -> Result<(), ChartError> {
-        let mut seen = vec![false; S::ALL.len()];
-        let mut todo = vec![self.start];
-        while let Some(state) = todo.pop() {
-            if std::mem::replace(&mut seen[state.index()], true) {
+    fn check_reachability(&self, chart: &'static str) -> Result<(), ChartError> {
+        let mut reached = vec![false; S::ALL.len()];
+        let mut pending = vec![self.start];
+        while let Some(state) = pending.pop() {
+            if std::mem::replace(&mut reached[state.index()], true) {
                 continue;
             }
             for event in E::ALL {
-                if let Next::To(next) = self.table[slot::<S, E>(state, *event)] {
-                    todo.push(next);
+                if let Transition::To(next) = self.table[table_index::<S, E>(state, *event)] {
+                    pending.push(next);
                 }
             }
         }
-        match S::ALL.iter().find(|s| !seen[s.index()]) {
+        match S::ALL.iter().find(|s| !reached[s.index()]) {
             None => Ok(()),
             Some(state) => Err(ChartError::Unreachable {
                 chart,
@@ -194,11 +194,11 @@
     }
 }
 
-fn slot<S: Symbol, E: Symbol>(state: S, event: E) -> usize {
+fn table_index<S: Symbol, E: Symbol>(state: S, event: E) -> usize {
     state.index() * E::ALL.len() + event.index()
 }
 
-fn find<T: Symbol>(chart: &'static str, word: &str) -> Result<T, ChartError> {
+fn find_symbol<T: Symbol>(chart: &'static str, word: &str) -> Result<T, ChartError> {
     let found = T::ALL.iter().find(|s| s.name() == word);
     found.copied().ok_or_else(|| ChartError::Unknown {
         chart,
@@ -206,28 +206,31 @@
     })
 }
 
-fn parse_next<S: Symbol>(chart: &'static str, word: &str) -> Result<Next<S>, ChartError> {
+fn parse_transition<S: Symbol>(
+    chart: &'static str,
+    word: &str,
+) -> Result<Transition<S>, ChartError> {
     match word {
-        "stay" => Ok(Next::Stay),
-        "refuse" => Ok(Next::Refuse),
-        other => find::<S>(chart, other).map(Next::To),
+        "stay" => Ok(Transition::Stay),
+        "refuse" => Ok(Transition::Refuse),
+        other => find_symbol::<S>(chart, other).map(Transition::To),
     }
 }
 
-fn complete<S: Symbol, E: Symbol>(
+fn require_all_pairs<S: Symbol, E: Symbol>(
     chart: &'static str,
-    table: &[Option<Next<S>>],
-) -> Result<Vec<Next<S>>, ChartError> {
-    let mut full = Vec::with_capacity(table.len());
+    table: &[Option<Transition<S>>],
+) -> Result<Vec<Transition<S>>, ChartError> {
+    let mut transitions = Vec::with_capacity(table.len());
     for state in S::ALL {
         for event in E::ALL {
-            let next = table[slot::<S, E>(*state, *event)].ok_or(ChartError::Missing {
+            let next = table[table_index::<S, E>(*state, *event)].ok_or(ChartError::Missing {
                 chart,
                 state: state.name(),
                 event: event.name(),
             })?;
-            full.push(next);
+            transitions.push(next);
         }
     }
-    Ok(full)
+    Ok(transitions)
 }
--- a/crates/thistlesill-core/src/config.rs
+++ b/crates/thistlesill-core/src/config.rs
@@ -1,4 +1,4 @@
-//! The daemons' own settings: addresses, peers and limits.
+//! Configuration file of a daemon: addresses, peers, limits and periods.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -7,35 +7,35 @@
 
 use crate::{HallId, NodeId, RegionId};
 
-/// The file that a daemon is started with.
+/// The configuration that a daemon reads at its start.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DaemonConfig {
-    /// This daemon's name, unique in the fleet.
+    /// Name of this daemon, unique in the fleet.
     pub name: NodeId,
-    /// The region that it runs in.
+    /// Region that the daemon runs in.
     pub region: RegionId,
-    /// The hall that it runs in.
+    /// Hall that the daemon runs in.
     pub hall: HallId,
-    /// Where callers are answered; routers only.
+    /// Address that serves callers; only routers have one.
     #[serde(default)]
     pub callers: Option<SocketAddr>,
-    /// Where operators, probes and metrics are answered.
+    /// Address that serves the admin interface, health checks and metrics.
     pub admin: SocketAddr,
-    /// Where peers are answered, over both UDP and TCP.
+    /// Address that serves other daemons, over both UDP and TCP.
     pub peer: SocketAddr,
     /// The other daemons of the fleet.
     pub peers: Vec<PeerConfig>,
-    /// Where the platform's service is.
+    /// Address of the platform's service.
     pub platform: SocketAddr,
-    /// File with the key that the fleet's daemons share.
+    /// File with the key shared by the daemons of the fleet.
     pub key_file: PathBuf,
-    /// File with the operators' token.
+    /// File with the token that operators authenticate with.
     pub token_file: PathBuf,
-    /// Limits on what comes in.
+    /// Limits on incoming connections and requests.
     #[serde(default)]
     pub limits: Limits,
-    /// Periods of the daemon's own work.
+    /// Intervals and timeouts of the daemon's periodic work.
     #[serde(default)]
     pub periods: Periods,
 }
@@ -44,43 +44,43 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PeerConfig {
-    /// Its name.
+    /// Name of the daemon.
     pub name: NodeId,
-    /// Its hall.
+    /// Hall that the daemon runs in.
     pub hall: HallId,
-    /// Its address for peers.
+    /// Address where the daemon serves its peers.
     pub peer: SocketAddr,
-    /// What it does.
+    /// Role of the daemon.
     pub role: Role,
 }
 
-/// What a daemon does.
+/// The role of a daemon in the fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// Answers callers.
+    /// Accepts callers' requests and sends them to groups.
     Router,
-    /// Watches targets and forms groups.
+    /// Probes targets and forms groups.
     Planner,
 }
 
-/// Limits on what comes in.
+/// Limits on incoming connections and requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Bytes of a request's body.
+    /// Largest request body, in bytes.
     pub body_bytes: usize,
-    /// Bytes of a request's header section.
+    /// Largest header section of a request, in bytes.
     pub head_bytes: usize,
-    /// Connections of callers at a time.
+    /// Largest number of open connections from callers.
     pub connections: usize,
-    /// Milliseconds from the connection to the end of the header section.
+    /// Time from the start of a connection to the end of the header section, in milliseconds.
     pub head_ms: u64,
-    /// Milliseconds to the end of the body.
+    /// Time until the end of the body, in milliseconds.
     pub body_ms: u64,
-    /// Requests waiting at a time, over all customers.
+    /// Largest number of waiting requests, over all customers.
     pub waiting: usize,
-    /// Events that the time line keeps.
+    /// Number of events that the time line keeps.
     pub events: usize,
 }
 
@@ -98,28 +98,28 @@
     }
 }
 
-/// Periods of a daemon's own work, in milliseconds.
+/// Intervals and timeouts of a daemon's periodic work, all in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Periods {
-    /// Between probes of a target.
+    /// Interval between two probes of a target.
     pub probe_ms: u64,
-    /// Between a watcher's beats.
+    /// Interval between two heartbeats of a watcher.
     pub beat_ms: u64,
-    /// Between reads of the settings' head.
+    /// Interval between two reads of the head row of the settings.
     pub head_ms: u64,
-    /// Between reads of the live list.
+    /// Interval between two reads of the platform's list of instances.
     pub list_ms: u64,
-    /// Between renewals of a lease.
+    /// Interval between two renewals of a lease.
     pub renew_ms: u64,
-    /// How long a lease lasts without renewal.
+    /// Time after which a lease that is not renewed expires.
     pub lease_ms: u64,
-    /// Between looks at the plan.
+    /// Interval between two planning steps.
     pub plan_ms: u64,
-    /// For which a stopping router goes on accepting, until the platform's
-    /// balancer has seen its health check fail.
+    /// Time for which a stopping router still accepts requests: the platform's load balancer
+    /// takes this long to notice that the health check fails.
     pub balancer_ms: u64,
-    /// At most, for streams under way when a router stops.
+    /// Longest time that a stopping router waits for active streams after `balancer_ms`.
     pub stop_ms: u64,
 }
 
@@ -139,11 +139,11 @@
     }
 }
 
-/// What is wrong in a daemon's settings beyond their shape.
+/// Checks constraints between the values of a configuration that its types do not express.
 ///
 /// # Errors
 ///
-/// A sentence that names the value and what would be right.
+/// Returns a sentence that names the wrong value and what is required.
 pub fn check(config: &DaemonConfig, role: Role) -> Result<(), String> {
     let periods = &config.periods;
     if role == Role::Router && config.callers.is_none() {
--- a/crates/thistlesill-core/src/edge.rs
+++ b/crates/thistlesill-core/src/edge.rs
@@ -1,8 +1,7 @@
-//! What the edge daemon knows of the fleet, in the project's own words.
+//! The edge daemon's model of the fleet: catalog, targets, orders and limits.
 //!
-//! The edge daemon proxies plain HTTP routes to targets. An adapter decodes
-//! the platform's documents into these types once; nothing behind it knows
-//! how the platform spells them.
+//! The edge daemon proxies HTTP routes to targets. An adapter decodes the platform's documents
+//! into these types, so that no other code depends on the platform's formats.
 
 mod bounds;
 mod catalog;
--- a/crates/thistlesill-core/src/edge/bounds.rs
+++ b/crates/thistlesill-core/src/edge/bounds.rs
@@ -1,64 +1,65 @@
-//! The settings of an edge daemon's process.
+//! Process settings of an edge daemon.
 
 use std::net::{IpAddr, SocketAddr};
 
 use crate::{HallId, Millis, NodeId};
 
-/// Bounds that the operators set for the behaviour of all daemons.
+/// Time and retry bounds that the operators set for all edge daemons.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bounds {
-    /// Longest age of the proof that a key is still valid; `None` where a
-    /// removed key may be used for longer.
+    /// Longest time since the daemon last confirmed that its catalog is the newest, for requests
+    /// with keys to be accepted; `None` if a removed key may be used for longer.
     pub revoke: Option<Millis>,
-    /// Time in which a new catalog must be in force.
+    /// Time within which a new catalog must be in force.
     pub apply: Millis,
-    /// Time after which a target that said that it leaves gets no new requests.
+    /// Time after which a target that announced its departure must get no new requests.
     pub drain: Millis,
-    /// Time that a stopping process has before it is killed.
+    /// Time between the signal to stop and the kill of the process.
     pub grace: Millis,
-    /// Retries of a service per request, over all daemons.
+    /// Largest number of retries per request to a service, summed over all daemons.
     pub retry_ratio: f64,
-    /// Retries beyond the ratio, over all daemons and one window.
+    /// Retries of a service allowed beyond the ratio within one window, summed over all daemons.
     pub retry_slack: f64,
 }
 
 /// The settings of one edge daemon's process.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EdgeSettings {
-    /// The daemon's name.
+    /// Name of the daemon.
     pub name: NodeId,
-    /// Its data centre.
+    /// Data centre of the daemon.
     pub hall: HallId,
-    /// Its own address.
+    /// IP address of the daemon.
     pub ip: IpAddr,
-    /// Where callers connect, if the process serves any.
+    /// Address that callers connect to; `None` if the process serves no callers.
     pub callers: Option<SocketAddr>,
-    /// Where the balancer asks whether the daemon takes callers.
+    /// Address where the load balancer checks whether the daemon is ready for callers.
     pub health: Option<SocketAddr>,
-    /// The first port that daemons may use among themselves.
+    /// First port of the range for traffic between daemons; receives their datagrams.
     pub peer_port: u16,
-    /// The last such port.
+    /// Last port of that range; serves the daemon's metrics.
     pub last_port: u16,
-    /// Machines on which a daemon may be found first; some may be down or replaced.
+    /// Machines to contact first to find other daemons; some may be down or replaced.
     pub seeds: Vec<IpAddr>,
-    /// Whether the whole system starts for the first time.
+    /// Whether this is the first start of the whole system.
     pub first_start: bool,
-    /// The bounds in force.
+    /// Time and retry bounds in force.
     pub bounds: Bounds,
-    /// Where the store listens.
+    /// Address of the store.
     pub store: SocketAddr,
-    /// What the machine's connection bears, in Mbit a second; 0 if it is not known.
+    /// Bandwidth of the machine's network connection in Mbit/s; 0 if unknown.
     pub link: u32,
 }
 
 impl EdgeSettings {
-    /// Where the daemon's peers send datagrams.
+    /// Returns the address where this daemon receives datagrams from its peers.
     pub const fn peer_address(&self) -> SocketAddr {
         SocketAddr::new(self.ip, self.peer_port)
     }
 
-    /// Where the daemons of the seeds receive datagrams, without this daemon, in the same
-    /// order for all.
+    /// Returns the addresses where the seeds other than this daemon receive datagrams.
+    ///
+    /// They are sorted, so that all daemons use the same order.
     pub fn seed_addresses(&self) -> Vec<SocketAddr> {
         let others = self.seeds.iter().filter(|ip| **ip != self.ip);
         let others = others.map(|ip| SocketAddr::new(*ip, self.peer_port));
@@ -67,7 +68,7 @@
         others
     }
 
-    /// Where the daemon serves its metrics.
+    /// Returns the address where this daemon serves its metrics.
     pub const fn metrics_address(&self) -> SocketAddr {
         SocketAddr::new(self.ip, self.last_port)
     }
--- a/crates/thistlesill-core/src/edge/catalog.rs
+++ b/crates/thistlesill-core/src/edge/catalog.rs
@@ -1,4 +1,4 @@
-//! One version of the operators' routes, services, customers and limits.
+//! The operators' configuration: routes, services, customers' keys and limits.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -6,56 +6,56 @@
 use super::RateLimit;
 use crate::{CustomerId, Millis, Model, ServiceName};
 
-/// What may be repeated of a route's requests.
+/// Whether requests of a route may be executed more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouteKind {
-    /// A request may run more than once.
+    /// A request may be executed more than once.
     Repeatable,
-    /// A request runs at most once.
+    /// A request is executed at most once.
     Once,
-    /// The answer is a stream of events; runs at most once unless the route
-    /// lets a stream be resumed.
+    /// The response is a stream of events; a request is executed at most once unless the route
+    /// is resumable.
     Stream,
 }
 
-/// A service's part of a route's requests.
+/// The share of a route's requests that goes to one service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TargetShare {
-    /// The service.
+    /// Service that receives the share.
     pub service: ServiceName,
-    /// Its weight among the route's shares.
+    /// Weight relative to the other shares of the route.
     pub weight: u32,
 }
 
-/// A route from a host and a path prefix to services.
+/// A mapping from a host and a path prefix to services, with its limits.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
-    /// Its name.
+    /// Name of the route.
     pub name: Arc<str>,
-    /// The beginning of its paths.
+    /// Path prefix of the requests that match.
     pub prefix: Arc<str>,
-    /// Where its requests go.
+    /// Services that the requests are distributed over.
     pub shares: Vec<TargetShare>,
-    /// What may be repeated.
+    /// Whether requests may be executed more than once.
     pub kind: RouteKind,
-    /// Targets that one request may be sent to.
+    /// Largest number of attempts for one request, the first included.
     pub attempts: u32,
-    /// The longest that a request is held.
+    /// Longest time for which the daemon processes a request; a caller's deadline may be earlier.
     pub timeout: Millis,
-    /// The latency objective, to the first event for streams.
+    /// Latency objective; for streams, it applies to the first event.
     pub aim: Millis,
-    /// The longest pause between a stream's events that is in time.
+    /// Objective for the longest pause between two events of a stream.
     pub pause: Option<Millis>,
-    /// Rank, 0 first; a customer's own rank goes before it.
+    /// Priority of the requests, 0 being the most urgent; a customer's own priority replaces it.
     pub priority: u8,
     /// Whether requests need no key.
     pub public: bool,
-    /// Whether a stream may be taken up at another target.
+    /// Whether a broken stream may be resumed at another target.
     pub resumable: bool,
 }
 
 impl Route {
-    /// Whether a request may run more than once.
+    /// Returns whether a request may be executed more than once.
     pub const fn may_repeat(&self) -> bool {
         match self.kind {
             RouteKind::Repeatable => true,
@@ -65,95 +65,95 @@
     }
 }
 
-/// A model that a service's targets can run as groups.
+/// A model that groups of a service's targets can run.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ModelPlan {
-    /// The model.
+    /// Name of the model.
     pub model: Model,
-    /// Targets of one group.
+    /// Number of targets in one group.
     pub size: u32,
-    /// Its part of the service's requests at the start, 0 to 1.
+    /// Expected share of the service's requests at the start, from 0 to 1.
     pub share: f64,
-    /// Factor on all of the engine's times.
+    /// Factor by which the model scales all times of the engine.
     pub pace: f64,
 }
 
-/// Figures of a service's model engines.
+/// Performance figures and limits of a service's model engines.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Engine {
-    /// Requests that a group runs at once.
+    /// Number of requests that a group runs concurrently.
     pub slots: u32,
-    /// Milliseconds of a token step.
+    /// Base duration of a token step, in milliseconds.
     pub step: f64,
-    /// Milliseconds that each running request adds to a step.
+    /// Time that each running request adds to a token step, in milliseconds.
     pub step_each: f64,
-    /// Prompt tokens read per second.
+    /// Prompt tokens that a group reads per second.
     pub read_rate: f64,
-    /// Token steps between two events of a stream.
+    /// Number of token steps between two events of a stream.
     pub stride: u32,
-    /// Loads of weights that may start per second, over all targets.
+    /// Largest number of weight loads that may start per second, over all targets.
     pub loads_rate: f64,
-    /// Loads that may run at once before they slow each other down.
+    /// Number of concurrent weight loads above which loads slow each other down.
     pub loads_once: usize,
-    /// The models, with the sizes of their groups.
+    /// Models that the service runs, with the sizes of their groups.
     pub models: Vec<ModelPlan>,
-    /// Mean tokens of an answer.
+    /// Mean number of tokens in a response.
     pub usual_answer: f64,
 }
 
 impl Engine {
-    /// The plan of a model, if the service runs it.
+    /// Returns the plan of a model, or `None` if the service does not run the model.
     pub fn plan(&self, model: &Model) -> Option<&ModelPlan> {
         self.models.iter().find(|plan| plan.model == *model)
     }
 }
 
-/// How targets warm up after they have started.
+/// The reduced request rate of targets that have recently started.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Warmup {
-    /// How long it takes.
+    /// Duration of the warm-up after a start.
     pub time: Millis,
-    /// Requests a second that a target takes meanwhile, from all daemons together.
+    /// Request rate that a target accepts during the warm-up, summed over all daemons.
     pub limit: RateLimit,
 }
 
-/// A service that routes lead to.
+/// A set of targets that routes send requests to.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Service {
-    /// Its name.
+    /// Name of the service.
     pub name: ServiceName,
-    /// Connections that each of its targets accepts from all callers.
+    /// Largest number of connections that each target accepts, over all callers.
     pub connections: u32,
-    /// How its targets warm up, if they take fewer requests until then.
+    /// Warm-up of the targets; `None` if they accept the full rate from the start.
     pub warmup: Option<Warmup>,
-    /// Figures of its engines, if it runs models.
+    /// Figures of the model engines; `None` if the service runs no models.
     pub engine: Option<Engine>,
 }
 
-/// Limits on what a caller sends and how long it takes.
+/// Limits on callers' requests and connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes of a request's head.
+    /// Largest header section of a request, in bytes.
     pub head_bytes: usize,
-    /// Bytes of a request's body.
+    /// Largest body of a request, in bytes.
     pub body_bytes: usize,
-    /// Time that an unused connection stays open.
+    /// Time after which an idle connection is closed.
     pub idle: Millis,
 }
 
-/// The holder of a key.
+/// The customer that an API key belongs to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KeyHolder {
-    /// The customer.
+    /// Customer that sends requests with the key.
     pub customer: CustomerId,
-    /// The customer's rank, if it has one of its own.
+    /// Priority of the customer's requests; `None` if the route's priority applies.
     pub priority: Option<u8>,
 }
 
-/// One version of all that the operators set.
+/// One version of the operators' whole configuration.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Catalog {
-    /// Rises with every change.
+    /// Version number, which rises with every change.
     pub version: u64,
     hosts: HashMap<Box<str>, Vec<Arc<Route>>>,
     services: HashMap<ServiceName, Arc<Service>>,
@@ -162,7 +162,7 @@
 }
 
 impl Catalog {
-    /// An empty catalog.
+    /// Creates a catalog without routes, services and keys.
     #[must_use]
     pub fn new(version: u64, limits: Limits) -> Self {
         Self {
@@ -174,7 +174,7 @@
         }
     }
 
-    /// Adds a route of a host.
+    /// Adds a route for a host, whose name is matched without regard to case.
     pub fn add_route(&mut self, host: &str, route: Route) {
         let routes = self
             .hosts
@@ -184,49 +184,51 @@
         routes.insert(at, Arc::new(route));
     }
 
-    /// Adds a service.
+    /// Adds a service, replacing one of the same name.
     pub fn add_service(&mut self, service: Service) {
         self.services
             .insert(service.name.clone(), Arc::new(service));
     }
 
-    /// Adds a customer's key.
+    /// Adds an API key of a customer, replacing an equal key.
     pub fn add_key(&mut self, key: &str, customer: CustomerId, priority: Option<u8>) {
         self.keys
             .insert(key.into(), KeyHolder { customer, priority });
     }
 
-    /// The route of a host with the longest prefix of `path`.
+    /// Returns the route for a host whose prefix is the longest that matches `path`.
+    ///
+    /// `host` may be in any case and may end in a port.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let routes = self.hosts.get(host).or_else(|| {
-            let lower = host.to_ascii_lowercase();
-            let bare = lower.split(':').next().unwrap_or_default();
-            self.hosts.get(bare)
+            let lowercase = host.to_ascii_lowercase();
+            let without_port = lowercase.split(':').next().unwrap_or_default();
+            self.hosts.get(without_port)
         })?;
         routes.iter().find(|r| path.starts_with(&*r.prefix))
     }
 
-    /// The holder of a key.
+    /// Returns the customer that an API key belongs to.
     pub fn holder(&self, key: &str) -> Option<&KeyHolder> {
         self.keys.get(key)
     }
 
-    /// Whether requests need a key unless their route is public.
+    /// Returns whether requests to routes that are not public need a key.
     pub fn needs_keys(&self) -> bool {
         !self.keys.is_empty()
     }
 
-    /// A service by name.
+    /// Returns the service with the given name.
     pub fn service(&self, name: &ServiceName) -> Option<&Arc<Service>> {
         self.services.get(name)
     }
 
-    /// All services.
+    /// Returns all services in no particular order.
     pub fn services(&self) -> impl Iterator<Item = &Arc<Service>> {
         self.services.values()
     }
 
-    /// The limits on callers.
+    /// Returns the limits on callers' requests and connections.
     pub const fn limits(&self) -> Limits {
         self.limits
     }
--- a/crates/thistlesill-core/src/edge/evacuation.rs
+++ b/crates/thistlesill-core/src/edge/evacuation.rs
@@ -1,4 +1,4 @@
-//! Data centres that the operators evacuate.
+//! Data centres that operators take out of service.
 
 use std::collections::BTreeSet;
 
@@ -6,12 +6,11 @@
 
 use crate::HallId;
 
-/// The data centres whose targets are to get no requests, as the store listed them at one
-/// version.
+/// The data centres whose targets must get no requests, as listed in the store at one version.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evacuations {
-    /// The store's version up to which all changes are known.
+    /// Version of the store up to which all changes are included.
     pub version: u64,
-    /// The data centres.
+    /// Evacuated data centres.
     pub halls: BTreeSet<HallId>,
 }
--- a/crates/thistlesill-core/src/edge/incarnation.rs
+++ b/crates/thistlesill-core/src/edge/incarnation.rs
@@ -1,4 +1,4 @@
-//! Which life of a target something belongs to.
+//! Identifiers that tell the successive starts of a target apart.
 
 use std::fmt;
 
@@ -6,11 +6,11 @@
 
 use crate::InstanceId;
 
-/// One start of a target.
+/// Identifies one start of a target.
 ///
-/// It is the moment of the start on the target's own clock, in Unix milliseconds, or
-/// zero where targets do not tell it. Clocks jump, so a later start may bear a smaller
-/// number: two incarnations are the same or differ, and neither is the newer one.
+/// The value is the start time by the target's own clock in Unix milliseconds, or zero if
+/// targets do not report one. Clocks jump, so a later start may have a smaller number: two
+/// incarnations can only be compared for equality, never for which one is newer.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
@@ -18,12 +18,12 @@
 pub struct Incarnation(u64);
 
 impl Incarnation {
-    /// An incarnation that began at a moment, in Unix milliseconds.
-    pub const fn new(born: u64) -> Self {
-        Self(born)
+    /// Creates the incarnation for a start time in Unix milliseconds.
+    pub const fn new(started_ms: u64) -> Self {
+        Self(started_ms)
     }
 
-    /// The moment of the start, in Unix milliseconds; zero if it is not known.
+    /// Returns the start time in Unix milliseconds; zero if unknown.
     pub const fn get(self) -> u64 {
         self.0
     }
@@ -35,11 +35,11 @@
     }
 }
 
-/// One life of a target: the instance that runs it, and which of its starts.
+/// Identifies one incarnation of a target: the instance that runs the target, and its start.
 ///
-/// A target that starts again is listed under the same instance and holds nothing of
-/// what it held before. All that is remembered of a target is kept under this id, so
-/// nothing of an earlier life is taken for the present one's.
+/// A restarted target is listed under the same instance but has lost all its earlier state.
+/// State about targets is keyed by this id, so that state of an earlier incarnation is never
+/// applied to the current one.
 #[derive(Clone, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct TargetId {
     instance: InstanceId,
@@ -47,7 +47,7 @@
 }
 
 impl TargetId {
-    /// A life of the target that an instance runs.
+    /// Creates the id of one incarnation of the target on an instance.
     pub const fn new(instance: InstanceId, incarnation: Incarnation) -> Self {
         Self {
             instance,
@@ -55,22 +55,22 @@
         }
     }
 
-    /// The instance; the same in all lives.
+    /// Returns the instance, which is the same for all incarnations.
     pub const fn instance(&self) -> &InstanceId {
         &self.instance
     }
 
-    /// Which life it is.
+    /// Returns the incarnation.
     pub const fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// The text of the instance's id.
+    /// Returns the text of the instance's id, without the incarnation.
     pub fn as_str(&self) -> &str {
         self.instance.as_str()
     }
 
-    /// Whether both are lives of the same instance, and not the same one.
+    /// Returns whether both ids name the same instance but different incarnations.
     #[must_use]
     pub fn is_other_life_of(&self, other: &Self) -> bool {
         self.instance == other.instance && self.incarnation != other.incarnation
@@ -105,7 +105,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.incarnation.get() {
             0 => self.instance.fmt(f),
-            born => write!(f, "{}#{born}", self.instance),
+            started_ms => write!(f, "{}#{started_ms}", self.instance),
         }
     }
 }
--- a/crates/thistlesill-core/src/edge/limit.rs
+++ b/crates/thistlesill-core/src/edge/limit.rs
@@ -1,37 +1,37 @@
-//! How many requests a target takes.
+//! Request rate limits of targets.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// The requests a second that a target takes from all daemons together.
+/// The request rate that a target accepts from all daemons together, in requests per second.
 ///
-/// It is finite and not negative.
+/// The value is finite and not negative.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(try_from = "f64", into = "f64")]
 pub struct RateLimit(f64);
 
 impl RateLimit {
-    /// A limit in requests a second; `None` if the number is negative, infinite or none.
+    /// Creates a limit in requests per second; `None` if the number is negative, infinite or NaN.
     #[must_use]
     pub fn new(per_second: f64) -> Option<Self> {
         (per_second.is_finite() && per_second >= 0.0).then_some(Self(per_second))
     }
 
-    /// Requests a second.
+    /// Returns the limit in requests per second.
     #[must_use]
     pub const fn get(self) -> f64 {
         self.0
     }
 }
 
-/// A number that is no limit.
+/// The error for a number that is negative, infinite or NaN.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct NoLimit;
 
 impl fmt::Display for NoLimit {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("a limit is finite and not negative")
+        f.write_str("a rate limit must be finite and not negative")
     }
 }
 
--- a/crates/thistlesill-core/src/edge/order.rs
+++ b/crates/thistlesill-core/src/edge/order.rs
@@ -1,48 +1,48 @@
-//! Orders to model engines.
+//! Orders to model engines, and their replies.
 
 use serde::{Deserialize, Serialize};
 
 use super::TargetId;
 use crate::{GroupId, Model};
 
-/// One forming of a group: its name and epoch.
+/// Identifies one formation of a group by its name and epoch.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct GroupRef {
-    /// The group.
+    /// Name of the group.
     pub group: GroupId,
-    /// Its epoch.
+    /// Epoch of this formation.
     pub epoch: u64,
 }
 
-/// What an engine is told to do.
+/// An instruction to a model engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Order {
     /// Become a member of a group.
     Join {
-        /// The group.
+        /// Group to join.
         to: GroupRef,
-        /// What it runs.
+        /// Model that the group runs.
         model: Model,
-        /// All members; the first leads.
+        /// All members of the group; the first one is the leader.
         members: Vec<TargetId>,
-        /// Orders that the target took before in its present life. One that took another
-        /// number of them refuses the join.
+        /// Number of orders that the target has taken in its current incarnation. A target that
+        /// has taken a different number refuses the join.
         orders_taken: u64,
     },
-    /// As leader: take requests.
+    /// As leader: start to accept requests.
     Open(GroupRef),
-    /// As leader: break off what runs and take no more requests.
+    /// As leader: abort the running requests and accept no more.
     Cut(GroupRef),
-    /// As leader: take no more requests, and end those that run.
+    /// As leader: accept no more requests, and finish the running ones.
     Close(GroupRef),
-    /// Be a member no longer, so that no late order can open the group again.
+    /// Leave the group, so that no delayed order can open the group again.
     Leave(GroupRef),
-    /// Load a model's weights to the host.
+    /// Load a model's weights onto the host.
     Stage(Model),
 }
 
 impl Order {
-    /// The order's name in logs and metrics.
+    /// Returns the name of the order in logs and metrics.
     pub const fn name(&self) -> &'static str {
         match self {
             Self::Join { .. } => "join",
@@ -55,24 +55,25 @@
     }
 }
 
-/// What became of an order.
+/// The result of sending an order to an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderReply {
-    /// It is begun.
+    /// The engine has started to carry out the order.
     Begun,
-    /// What it asks for holds, and nothing is under way.
+    /// The engine already is in the requested state, with no change in progress.
     Held,
-    /// It does not fit the engine's state, or the engine took other orders than it names.
+    /// The order conflicts with the engine's state, or the engine has taken a different number of
+    /// orders than the order states.
     Unfit,
     /// The engine has seen a higher epoch.
     Outdated,
-    /// Another engine lives at the address.
+    /// A different engine answers at the address.
     Elsewhere,
-    /// The engine refused it with this status.
+    /// The engine refused the order with this HTTP status.
     Denied(u16),
-    /// Nothing listens at the address: the engine's process is gone, or it is
-    /// about to end and still works off what it has.
+    /// Nothing listens at the address: the engine's process has ended, or is about to end and
+    /// only finishes its current work.
     Refused,
-    /// No answer: it may be carried out at any time.
+    /// No reply came: the engine may still carry out the order at any time.
     Unknown,
 }
--- a/crates/thistlesill-core/src/edge/target.rs
+++ b/crates/thistlesill-core/src/edge/target.rs
@@ -1,4 +1,4 @@
-//! A target as it last described itself.
+//! The state of a target as the target last published it.
 
 use std::net::SocketAddr;
 
@@ -7,67 +7,67 @@
 use super::{GroupRef, TargetId};
 use crate::{DomainId, HallId, Millis, Model, ServiceName};
 
-/// How far a member of a group is.
+/// The state of a target as a member of a group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MemberState {
-    /// It is loading or taking over weights.
+    /// The member is loading weights, or taking over weights that are loaded.
     Joining,
-    /// It is ready to serve as part of the group.
+    /// The member is ready to serve as part of the group.
     Ready,
-    /// It leads the group, which takes requests.
+    /// The member is the leader, and the group accepts requests.
     Open,
-    /// It leads the group, which ends its requests and takes no more.
+    /// The member is the leader, and the group finishes its requests and accepts no more.
     Closing,
-    /// It leads the group, which lost a member and serves nothing.
+    /// The member is the leader, and the group has lost a member and serves no requests.
     Broken,
 }
 
 /// A target's place in a group.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Membership {
-    /// The group.
+    /// Group that the target belongs to.
     pub of: GroupRef,
-    /// Position in the list of members; 0 leads.
+    /// Position in the list of members; rank 0 is the leader.
     pub rank: u32,
-    /// How far it is.
+    /// State of the target as a member.
     pub state: MemberState,
-    /// What the group runs.
+    /// Model that the group runs, if known.
     pub model: Option<Model>,
 }
 
-/// One life of a target.
+/// One incarnation of a target, as described by the target itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
-    /// Which target it is, and which of its lives.
+    /// Identifies the target and its incarnation.
     pub id: TargetId,
-    /// The service it belongs to.
+    /// Service that the target belongs to.
     pub service: ServiceName,
-    /// Where it takes requests and orders.
+    /// Address for requests and orders.
     pub address: SocketAddr,
-    /// Its data centre.
+    /// Data centre of the target.
     pub hall: HallId,
-    /// Requests it works on at once.
+    /// Number of requests that the target runs concurrently.
     pub slots: u32,
-    /// Whether it is about to leave and takes no new work.
+    /// Whether the target is about to leave and accepts no new work.
     pub leaving: bool,
-    /// How much longer it warmed up when it described itself.
+    /// Remaining warm-up time at the moment of the description.
     pub warmup: Millis,
-    /// Its fabric domain, if it runs models.
+    /// Fabric domain, if the target runs models.
     pub domain: Option<DomainId>,
-    /// Models whose weights lie on its host.
+    /// Models whose weights are staged on the host.
     pub staged: Vec<Model>,
-    /// Its group, if it has one.
+    /// Membership in a group, if the target has one.
     pub member: Option<Membership>,
 }
 
 impl Target {
-    /// Whether the target leads a group that takes requests.
+    /// Returns whether the target leads a group that accepts requests.
     pub fn leads_open(&self) -> bool {
         let open = |m: &Membership| m.rank == 0 && m.state == MemberState::Open;
         self.member.as_ref().is_some_and(open)
     }
 
-    /// The model that its group runs.
+    /// Returns the model that the target's group runs.
     pub fn model(&self) -> Option<&Model> {
         self.member.as_ref()?.model.as_ref()
     }
