--- a/crates/thistlesill-core/src/event_id.rs
+++ b/crates/thistlesill-core/src/event_id.rs
@@ -1,7 +1,7 @@
-//! The id of one event of a streamed answer.
+//! Ids of the events of a streamed answer.
 //!
-//! It travels as the `id` of a server-sent event, from engine to router to
-//! caller, and holds all that any router needs to take the stream up again.
+//! An event id is sent as the `id` of a server-sent event, from engine to router to caller, and
+//! contains everything that any router needs to resume the stream.
 
 use std::fmt;
 use std::str::FromStr;
@@ -10,10 +10,10 @@
 
 use crate::{GroupId, RequestId};
 
-/// The longest id that is read.
-const MAX_LEN: usize = 256;
+/// Longest text that is parsed as an event id.
+const MAX_TEXT_BYTES: usize = 256;
 
-/// Names one piece of one answer.
+/// Identifies one piece of a streamed answer.
 ///
 /// # Examples
 ///
@@ -26,19 +26,19 @@
 /// ```
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct EventId {
-    /// The request.
+    /// Request that is being answered.
     pub request: RequestId,
-    /// The group that answers.
+    /// Group that answers the request.
     pub group: GroupId,
-    /// The group's epoch.
+    /// Epoch of the group.
     pub epoch: u64,
-    /// The piece's place from 0; in the last event, the number of pieces.
+    /// Index of the piece, from 0; in the last event, the total number of pieces.
     pub offset: u32,
 }
 
-/// A text that is no event id.
+/// The error for text that is not a valid event id.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
-#[snafu(display("an event id is request/group/epoch/offset"))]
+#[snafu(display("an event id must have the form request/group/epoch/offset"))]
 pub struct BadEventId;
 
 impl fmt::Display for EventId {
@@ -57,7 +57,7 @@
     type Err = BadEventId;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        if text.len() > MAX_LEN {
+        if text.len() > MAX_TEXT_BYTES {
             return Err(BadEventId);
         }
         let parts: Vec<&str> = text.split('/').collect();
--- a/crates/thistlesill-core/src/fingerprint.rs
+++ b/crates/thistlesill-core/src/fingerprint.rs
@@ -1,5 +1,5 @@
-//! What makes two requests the same one for the targets that run them, and what daemons
-//! tell each other of one that ends its targets.
+//! Fingerprints that identify requests by content, and daemons' verdicts on requests that crash
+//! their targets.
 
 use std::fmt;
 
@@ -8,33 +8,34 @@
 
 use crate::Millis;
 
-/// Bytes of a fingerprint: a caller cannot find another customer's request that has the
-/// same one, and two of millions do not share one by chance.
-const LENGTH: usize = 16;
+/// Length of a fingerprint: enough that a caller cannot construct a request that collides with
+/// another customer's, and that no two of millions of requests collide by chance.
+const FINGERPRINT_BYTES: usize = 16;
 
-/// The digest of a request's customer, method, host, path and body.
+/// A digest of a request's customer, method, host, path and body.
 ///
-/// A caller that sends a request again gives it another id, so ids do not tell that it
-/// came before; daemons that never spoke of it compute the same fingerprint.
+/// A caller that repeats a request gives it a new id, so ids do not identify repetitions. All
+/// daemons compute the same fingerprint of a request without communication.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Fingerprint([u8; LENGTH]);
+pub struct Fingerprint([u8; FINGERPRINT_BYTES]);
 
 impl Fingerprint {
-    /// The fingerprint of a request whose parts come in a fixed order.
+    /// Computes the fingerprint of a request from its parts, which must be in a fixed order.
     #[must_use]
     pub fn of(parts: &[&[u8]]) -> Self {
         let mut digest = Sha256::new();
         for part in parts {
-            // With its length in front, a part cannot take over bytes of the next one.
+            // The length prefix keeps parts distinct: bytes that move from one part to the next
+            // change the digest.
             digest.update((part.len() as u64).to_le_bytes());
             digest.update(part);
         }
-        let mut bytes = [0; LENGTH];
-        bytes.copy_from_slice(&digest.finalize()[..LENGTH]);
+        let mut bytes = [0; FINGERPRINT_BYTES];
+        bytes.copy_from_slice(&digest.finalize()[..FINGERPRINT_BYTES]);
         Self(bytes)
     }
 
-    /// A number that is the same on all daemons.
+    /// Returns the fingerprint as a number, which is the same on all daemons.
     #[must_use]
     pub const fn number(self) -> u128 {
         u128::from_le_bytes(self.0)
@@ -47,17 +48,17 @@
     }
 }
 
-/// What daemons tell each other of a request.
+/// A daemon's decision to withhold a request or to clear it, as sent to other daemons.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Verdict {
-    /// The request.
+    /// Fingerprint of the request.
     pub print: Fingerprint,
-    /// Counts the verdicts on it; a later one replaces earlier ones.
+    /// Number of the verdict on this request; a higher round replaces lower ones.
     pub round: u32,
-    /// How often it was withheld in a row; 0 if it was cleared.
+    /// How many times in a row the request was withheld; 0 if it is cleared.
     pub level: u32,
-    /// How long it is withheld yet.
+    /// Remaining time for which the request is withheld.
     pub left: Millis,
-    /// Whether that is since it is being tried.
+    /// Whether the request is withheld because one copy of it is being tried.
     pub trial: bool,
 }
--- a/crates/thistlesill-core/src/jsonc.rs
+++ b/crates/thistlesill-core/src/jsonc.rs
@@ -1,7 +1,7 @@
-//! JSON with comments, with errors that name line and column.
+//! Parsing of JSON with comments, with errors that name line and column.
 //!
-//! Comments and trailing commas are blanked in place, so that the positions
-//! that `serde_json` reports are those of the original text.
+//! Comments and trailing commas are replaced by spaces in place, so that the positions that
+//! `serde_json` reports are valid in the original text.
 
 use std::fmt;
 
@@ -14,17 +14,17 @@
 
 use crate::suggest::nearest;
 
-/// A place in a text: line and column from 1.
+/// A position in a text.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Place {
-    /// Line from 1.
+    /// Line number, from 1.
     pub line: usize,
-    /// Column from 1, in bytes.
+    /// Column number in bytes, from 1.
     pub column: usize,
 }
 
 impl Place {
-    /// The place of a byte offset in `text`.
+    /// Returns the position of a byte offset in `text`.
     pub fn of(text: &str, offset: usize) -> Self {
         let before = &text.as_bytes()[..offset.min(text.len())];
         let line = text[..offset.min(text.len())].matches('\n').count() + 1;
@@ -45,35 +45,35 @@
     }
 }
 
-/// Why a text was not accepted.
+/// The error for text that is not the expected JSON with comments.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("{place}: {text}"))]
 pub struct JsoncError {
-    /// Where.
+    /// Position of the error.
     pub place: Place,
-    /// What is wrong and what would be right.
+    /// What is wrong, and what is expected instead.
     pub text: String,
 }
 
-/// Reads a value from JSON with comments.
+/// Parses a value from JSON with comments and trailing commas.
 ///
 /// # Errors
 ///
-/// A [`JsoncError`] with the place of a syntax error, an unknown field (with
-/// the nearest known one) or a value of the wrong type.
+/// Returns a [`JsoncError`] with the position of a syntax error, an unknown field (and the most
+/// similar known one) or a value of the wrong type.
 pub fn from_str<T: DeserializeOwned>(text: &str) -> Result<T, JsoncError> {
-    let plain = blank(text)?;
+    let plain = blank_comments(text)?;
     serde_json::from_str(&plain).map_err(|e| JsoncError {
         place: Place {
             line: e.line(),
             column: e.column(),
         },
-        text: explain(&e.to_string()),
+        text: improve_message(&e.to_string()),
     })
 }
 
-/// The place of the value at a path of object keys, or of the deepest part
-/// of the path that exists.
+/// Returns the position of the property at a path of object keys, or of the deepest part of the
+/// path that exists; the start of the text if the text cannot be parsed.
 pub fn locate(text: &str, path: &[&str]) -> Place {
     let Ok(parsed) = parse_to_ast(text, &CollectOptions::default(), &ParseOptions::default())
     else {
@@ -94,8 +94,8 @@
     Place::of(text, offset)
 }
 
-/// Replaces comments and trailing commas by spaces.
-fn blank(text: &str) -> Result<String, JsoncError> {
+/// Replaces comments and trailing commas by spaces, keeping all positions.
+fn blank_comments(text: &str) -> Result<String, JsoncError> {
     let collect = CollectOptions {
         comments: CommentCollectionStrategy::Separate,
         tokens: true,
@@ -108,19 +108,19 @@
     let mut bytes = text.as_bytes().to_vec();
     let lists = parsed.comments.iter().flat_map(|map| map.values());
     for comment in lists.flat_map(|list| list.iter()) {
-        wipe(&mut bytes, comment.start(), comment.end());
+        fill_with_spaces(&mut bytes, comment.start(), comment.end());
     }
     let tokens = parsed.tokens.unwrap_or_default();
     for pair in tokens.windows(2) {
         let closes = matches!(pair[1].token, Token::CloseBrace | Token::CloseBracket);
         if pair[0].token == Token::Comma && closes {
-            wipe(&mut bytes, pair[0].start(), pair[0].end());
+            fill_with_spaces(&mut bytes, pair[0].start(), pair[0].end());
         }
     }
     Ok(String::from_utf8_lossy(&bytes).into_owned())
 }
 
-fn wipe(bytes: &mut [u8], start: usize, end: usize) {
+fn fill_with_spaces(bytes: &mut [u8], start: usize, end: usize) {
     for b in &mut bytes[start..end] {
         if *b != b'\n' {
             *b = b' ';
@@ -128,19 +128,19 @@
     }
 }
 
-/// Adds the nearest known word to an error about an unknown one, and drops
-/// the position that `serde_json` appends.
-fn explain(message: &str) -> String {
+/// Removes the position that `serde_json` appends to its messages, and adds a suggestion to
+/// messages about an unknown field or variant.
+fn improve_message(message: &str) -> String {
     let text = message.split(" at line ").next().unwrap_or(message);
     if !text.starts_with("unknown ") {
         return text.to_owned();
     }
     let mut words = text.split('`').skip(1).step_by(2);
-    let Some(wrong) = words.next() else {
+    let Some(unknown) = words.next() else {
         return text.to_owned();
     };
-    match nearest(wrong, words) {
-        Some(right) => format!("{text}; did you mean `{right}`?"),
+    match nearest(unknown, words) {
+        Some(suggestion) => format!("{text}; did you mean `{suggestion}`?"),
         None => text.to_owned(),
     }
 }
--- a/crates/thistlesill-core/src/lib.rs
+++ b/crates/thistlesill-core/src/lib.rs
@@ -1,7 +1,7 @@
-//! Types that every thistlesill process shares: names, error kinds, the
-//! settings tree, state charts, time line events and messages.
+//! Types shared by all thistlesill processes: names, error kinds, the settings tree, state
+//! charts, time line events and messages.
 //!
-//! Nothing in this crate does I/O, reads a clock or draws random numbers.
+//! Nothing in this crate performs I/O, reads a clock or generates random numbers.
 
 pub mod chart;
 pub mod config;
--- a/crates/thistlesill-core/src/message.rs
+++ b/crates/thistlesill-core/src/message.rs
@@ -1,5 +1,5 @@
-//! Messages between daemons, encoded with `postcard` and sealed with the
-//! fleet's shared key.
+//! Messages between daemons, encoded with `postcard` and authenticated with the fleet's shared
+//! key.
 
 use std::net::SocketAddr;
 
@@ -12,47 +12,49 @@
     ServiceName, Stamp, Verdict,
 };
 
-/// Reports in one datagram at most; keeps it within
+/// Largest number of sightings in one datagram, which keeps the datagram within
 /// [`MAX_DATAGRAM`](crate::seal::MAX_DATAGRAM).
 pub const MAX_SIGHTINGS: usize = 12;
 
-/// What a watcher last saw of a target; changes rarely.
+/// The state of a target as last observed by a watcher.
+///
+/// Rarely changing data is sent here; see [`Gauge`] for data that changes all the time.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sighting {
-    /// The target.
+    /// Instance that runs the target.
     pub instance: InstanceId,
-    /// Its hall.
+    /// Hall of the instance.
     pub hall: HallId,
-    /// Its fabric domain.
+    /// Fabric domain of the instance.
     pub domain: DomainId,
-    /// The generation of its accelerators.
+    /// Hardware generation of the accelerators.
     pub generation: Generation,
-    /// How many accelerators it has.
+    /// Number of accelerators.
     pub accelerators: u32,
-    /// Where it listens.
+    /// Address of the target's interfaces.
     pub address: SocketAddr,
-    /// Its incarnation.
+    /// Incarnation of the target, which changes with every start.
     pub incarnation: u64,
-    /// Whether it leaves, by the list or by its own word.
+    /// Whether the target is leaving, according to the platform's list or its own report.
     pub leaving: bool,
-    /// What it does.
+    /// Observed state.
     pub state: Seen,
 }
 
-/// What a target was seen to do.
+/// The observed state of a target.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Seen {
-    /// It did not answer.
+    /// The target did not answer.
     Lost,
-    /// It belongs to no group.
+    /// The target belongs to no group.
     Idle,
-    /// It loads for a group.
+    /// The target is loading weights for a group.
     Loading(Membership),
-    /// It serves in a group.
+    /// The target serves as a member of a group.
     Ready(Membership),
-    /// It ends what it serves and takes nothing new.
+    /// The target finishes its requests in a group and accepts no new ones.
     Draining(Membership),
-    /// It runs a plain service.
+    /// The target runs a plain service.
     Service(ServiceName),
 }
 
@@ -69,7 +71,7 @@
 }
 
 impl Seen {
-    /// The place in a group, if there is one.
+    /// Returns the membership in a group, if the target has one.
     pub const fn membership(&self) -> Option<&Membership> {
         match self {
             Self::Loading(m) | Self::Ready(m) | Self::Draining(m) => Some(m),
@@ -78,103 +80,103 @@
     }
 }
 
-/// The pressure on a leader, which changes all the time.
+/// The load of a group's leader or of a plain service's target, which changes all the time.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Gauge {
-    /// The target.
+    /// Instance that runs the target.
     pub instance: InstanceId,
-    /// Its figures; `age` counts up to the sending of the beat.
+    /// Load figures; their `age` is measured up to the sending of the heartbeat.
     pub pressure: Pressure,
-    /// Its cache events since the last beat, possibly with gaps.
+    /// Events of the prefix cache since the last heartbeat, possibly with gaps.
     pub cache: Vec<CacheEvent>,
 }
 
-/// A watcher's regular message.
+/// The periodic heartbeat of a watcher.
 ///
-/// It says: every sighting that I sent and did not take back was confirmed
-/// by a report no older than `oldest`.
+/// A heartbeat asserts that every sighting that the watcher has sent and not replaced was
+/// confirmed by a report no older than `oldest`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Beat {
-    /// Counts up by one for every beat of a watcher's run.
+    /// Sequence number, which rises by one with every heartbeat of a run.
     pub seq: u64,
-    /// Changes with every start of the watcher.
+    /// Identifies the watcher's run; changes with every start of the watcher.
     pub run: u64,
-    /// Age of the oldest confirmation among targets not lost.
+    /// Age of the oldest report that confirms a sent sighting, not counting lost targets.
     pub oldest: Millis,
-    /// The number of changes sent in this run, this beat's included.
+    /// Number of changes sent in this run, including those of this heartbeat.
     pub changes: u64,
-    /// Sightings that changed since the last beat.
+    /// Sightings that changed since they were last sent.
     pub changed: Vec<Sighting>,
-    /// Pressure on the leaders watched.
+    /// Load of watched leaders and plain services.
     pub gauges: Vec<Gauge>,
 }
 
-/// A part of a watcher's full view.
+/// One part of a watcher's complete list of sightings.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
-    /// The watcher's run.
+    /// Identifies the watcher's run.
     pub run: u64,
-    /// The number of changes that the view includes.
+    /// Number of changes of this run that the list includes.
     pub changes: u64,
-    /// This part's position from 0.
+    /// Index of this part, from 0.
     pub part: u32,
-    /// How many parts there are.
+    /// Total number of parts.
     pub parts: u32,
-    /// Age of the oldest confirmation among targets not lost.
+    /// Age of the oldest report that confirms a sent sighting, not counting lost targets.
     pub oldest: Millis,
-    /// The sightings of this part.
+    /// Sightings in this part.
     pub sightings: Vec<Sighting>,
 }
 
-/// A router's use of its groups, for fair sharing over all routers.
+/// A router's usage per customer, for fair sharing over all routers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Requests under way or waiting for each customer.
+    /// Usage of each customer with active requests.
     pub customers: Vec<CustomerUse>,
 }
 
-/// One customer's use at one router.
+/// The usage of one customer at one router.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CustomerUse {
-    /// The customer.
+    /// Name of the customer.
     pub customer: CustomerId,
-    /// Requests sent and not ended.
+    /// Number of requests that were sent to targets and have not ended.
     pub running: u32,
 }
 
-/// What a router tells of requests that end the groups which run them.
+/// A router's observations and verdicts about requests that crash the groups which run them.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fatal {
-    /// Groups that it lost, by name and epoch, and the requests that were there.
+    /// Requests, each with a group (name and epoch) that was lost while it had the request.
     pub lost: Vec<(Fingerprint, (GroupId, u64))>,
-    /// What was decided.
+    /// Verdicts of the sender.
     pub verdicts: Vec<Verdict>,
 }
 
 impl Fatal {
-    /// Whether there is nothing to tell.
+    /// Returns whether there is nothing to send.
     #[must_use]
     pub const fn is_empty(&self) -> bool {
         self.lost.is_empty() && self.verdicts.is_empty()
     }
 }
 
-/// What a datagram carries.
+/// The content of a datagram.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerBody {
-    /// A watcher's regular message.
+    /// The heartbeat of a watcher.
     Beat(Beat),
-    /// A request for the watcher's full view.
+    /// A request for the watcher's complete list of sightings.
     Want,
-    /// A part of a watcher's full view.
+    /// One part of a watcher's complete list of sightings.
     Digest(Digest),
-    /// A router's use of its groups.
+    /// A router's usage per customer.
     Usage(Usage),
-    /// What a router knows of requests that end their groups.
+    /// A router's observations and verdicts about requests that crash their groups.
     Fatal(Fatal),
     /// The revision of the settings in force at the sender.
     Head {
-        /// The revision.
+        /// Revision in force.
         revision: u64,
     },
 }
@@ -182,51 +184,51 @@
 /// A datagram between daemons.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Datagram {
-    /// The sender.
+    /// Name of the sending daemon.
     pub from: NodeId,
-    /// The sender's clock.
+    /// Stamp of the sender's clock at the time of sending.
     pub stamp: Stamp,
-    /// The content.
+    /// Content of the datagram.
     pub body: PeerBody,
 }
 
-/// A question on a stream between daemons.
+/// A request on a stream between daemons.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StreamAsk {
-    /// The settings, if they are newer than `have`.
+    /// Requests the settings, if they are newer than `have`.
     Settings {
-        /// The revision that the asker has.
+        /// Revision that the requesting daemon has.
         have: u64,
     },
 }
 
-/// An answer on a stream between daemons.
+/// A reply on a stream between daemons.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StreamReply {
-    /// Nothing newer.
+    /// The requesting daemon has the newest settings.
     Nothing,
-    /// The changes that lead from the asker's revision to this one, in order.
+    /// The changes from the requesting daemon's revision to the newest one, in order.
     Changes {
-        /// The changes.
+        /// Changes in the order in which they apply.
         changes: Vec<ChangeEntry>,
     },
     /// The whole tree at a revision.
     Settings {
-        /// The revision.
+        /// Revision of the tree.
         revision: u64,
-        /// Path and branch.
+        /// All branches of the tree.
         branches: Vec<BranchEntry>,
     },
 }
 
-/// What led from one revision to a later one, on the wire.
+/// The change from one revision of the settings to a later one, encoded for the wire.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeEntry {
-    /// The revision that it applies to.
+    /// Revision that the change applies to.
     pub from: u64,
-    /// The revision that it gives.
+    /// Revision that results from the change.
     pub to: u64,
-    /// The change, as JSON text.
+    /// The [`TreeDiff`] as JSON text.
     pub json: String,
 }
 
@@ -248,19 +250,19 @@
     ///
     /// # Errors
     ///
-    /// The decoder's error if the text is no change.
+    /// Returns the decoder's error if `json` is not a valid change.
     pub fn diff(&self) -> Result<TreeDiff, serde_json::Error> {
         serde_json::from_str(&self.json)
     }
 }
 
-/// One branch of a tree on the wire.
+/// One branch of the settings tree, encoded for the wire.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct BranchEntry {
-    /// The path.
+    /// Path of the branch.
     pub path: String,
-    /// The branch, as JSON text: its optional fields need a format that
-    /// describes itself.
+    /// The branch as JSON text: its fields are skipped if absent, which requires a
+    /// self-describing format.
     pub json: String,
 }
 
@@ -283,7 +285,7 @@
     ///
     /// # Errors
     ///
-    /// The decoder's error if the text is no branch.
+    /// Returns the decoder's error if `json` is not a valid branch.
     pub fn branch(&self) -> Result<Branch, serde_json::Error> {
         serde_json::from_str(&self.json)
     }
--- a/crates/thistlesill-core/src/name.rs
+++ b/crates/thistlesill-core/src/name.rs
@@ -1,4 +1,4 @@
-//! Names of things, as cheap shared immutable strings with a type each.
+//! Typed names of machines, customers, models and other things, cheap to clone.
 
 use std::borrow::Borrow;
 use std::fmt;
@@ -16,12 +16,12 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Makes a name from text.
+            /// Creates a name from text.
             pub fn new(text: impl Into<Arc<str>>) -> Self {
                 Self(text.into())
             }
 
-            /// The text of the name.
+            /// Returns the text of the name.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -66,33 +66,33 @@
 }
 
 name_type! {
-    /// One machine of the platform.
+    /// The name of an instance: one machine of the platform.
     InstanceId;
-    /// A data centre.
+    /// The name of a hall: one data centre.
     HallId;
-    /// A region of several halls.
+    /// The name of a region, which contains several halls.
     RegionId;
-    /// A set of instances joined by one fast fabric.
+    /// The name of a fabric domain: a set of instances joined by one fast network.
     DomainId;
-    /// A hardware generation of accelerators.
+    /// The name of a hardware generation of accelerators.
     Generation;
-    /// A customer whose callers send requests.
+    /// The name of a customer, whose callers send requests.
     CustomerId;
-    /// A serving group of instances.
+    /// The name of a group of instances that serve a model together.
     GroupId;
-    /// A model's name.
+    /// The name of a model.
     Model;
-    /// An adapter loaded beside a model.
+    /// The name of an adapter that is loaded in addition to a model.
     Adapter;
-    /// A version of a model's weights.
+    /// The name of a version of a model's weights.
     Version;
-    /// A plain service that is routed to beside the model engines.
+    /// The name of a service: a plain one beside the model engines, or any of the edge daemon's.
     ServiceName;
-    /// A daemon of the system.
+    /// The name of a daemon.
     NodeId;
 }
 
-/// Identifies one request of a caller over all processes and attempts.
+/// Identifies one request of a caller across all processes and attempts.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -100,7 +100,7 @@
 pub struct RequestId(u128);
 
 impl RequestId {
-    /// Makes an id from a random number.
+    /// Creates an id from a random number.
     pub const fn new(number: u128) -> Self {
         Self(number)
     }
--- a/crates/thistlesill-core/src/report.rs
+++ b/crates/thistlesill-core/src/report.rs
@@ -1,7 +1,7 @@
-//! What targets report of themselves and the orders they accept.
+//! Reports of targets and the orders that they accept.
 //!
-//! These are the bodies of the control interface of a model engine: a
-//! report on `GET /control/report`, and an order on `POST /control/order`.
+//! These types are the bodies of a model engine's control interface: `GET /control/report`
+//! returns a report, and `POST /control/order` accepts an order.
 
 use std::net::SocketAddr;
 
@@ -12,76 +12,76 @@
     ServiceName, Version,
 };
 
-/// An instance as the platform's list of live and leaving instances has it.
+/// An entry of the platform's list of live and leaving instances.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Listed {
-    /// The instance.
+    /// Name of the instance.
     pub instance: InstanceId,
-    /// Its region.
+    /// Region of the instance.
     pub region: RegionId,
-    /// Its hall.
+    /// Hall of the instance.
     pub hall: HallId,
-    /// Its fabric domain.
+    /// Fabric domain of the instance.
     pub domain: DomainId,
-    /// The generation of its accelerators.
+    /// Hardware generation of the accelerators.
     pub generation: Generation,
-    /// How many accelerators it has.
+    /// Number of accelerators.
     pub accelerators: u32,
-    /// Where its control and data interfaces listen.
+    /// Address of the control and data interfaces.
     pub address: SocketAddr,
-    /// Whether it is leaving.
+    /// Whether the instance is leaving.
     pub leaving: bool,
-    /// The plain service that it runs, if it is no model engine.
+    /// Plain service that the instance runs; `None` for a model engine.
     pub service: Option<ServiceName>,
 }
 
-/// What a group runs.
+/// The model that a group runs, with its version and adapters.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Load {
-    /// The model.
+    /// Name of the model.
     pub model: Model,
-    /// The version of its weights.
+    /// Version of the model's weights.
     pub version: Version,
-    /// Adapters loaded beside it, in order.
+    /// Adapters that are loaded in addition to the model, in order.
     pub adapters: Vec<Adapter>,
 }
 
-/// A member's place in a group.
+/// The membership of an instance in a group.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Membership {
-    /// The group.
+    /// Name of the group.
     pub group: GroupId,
-    /// The epoch of its forming.
+    /// Epoch of the group's formation.
     pub epoch: u64,
-    /// This member's rank from 0; rank 0 takes requests.
+    /// Rank of this member, from 0; the member of rank 0 receives the group's requests.
     pub rank: u32,
-    /// How many members the group has.
+    /// Number of members of the group.
     pub size: u32,
-    /// What the group runs.
+    /// Model and adapters that the group runs.
     pub load: Load,
 }
 
-/// What a target does by its own word.
+/// The current duty of a target, as reported by the target.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "duty", rename_all = "snake_case")]
 pub enum Duty {
-    /// Belongs to no group.
+    /// The target belongs to no group.
     Idle,
-    /// Loads weights for a group.
+    /// The target is loading weights for a group.
     Loading(Membership),
-    /// Serves in a group.
+    /// The target serves as a member of a group.
     Ready(Membership),
-    /// Ends what it serves in a group and takes nothing new.
+    /// The target finishes its requests in a group and accepts no new ones.
     Draining(Membership),
-    /// Runs a plain service.
+    /// The target runs a plain service.
     Service {
-        /// The service's name.
+        /// Name of the service.
         name: ServiceName,
     },
 }
 
 impl Duty {
-    /// The place in a group, if the target has one.
+    /// Returns the membership in a group, if the target has one.
     pub const fn membership(&self) -> Option<&Membership> {
         match self {
             Self::Loading(m) | Self::Ready(m) | Self::Draining(m) => Some(m),
@@ -90,83 +90,85 @@
     }
 }
 
-/// How loaded a target was when it last looked.
+/// Load figures of a target, measured by the target itself.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Pressure {
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that wait in the engine.
+    /// Number of requests waiting in the engine.
     pub waiting: u32,
-    /// Tokens that the engine has still to produce, as far as it knows.
+    /// Number of tokens still to be produced, as far as the engine knows.
     pub backlog: u32,
-    /// Tokens per second over all requests, as of late.
+    /// Recent token rate over all requests, in tokens per second.
     pub speed: u32,
-    /// Requests accepted since the engine started; tells which of a router's
-    /// requests the report already counts.
+    /// Number of requests accepted since the engine started; shows which of a router's requests
+    /// the report already includes.
     pub accepted: u64,
-    /// How old these figures were when reported.
+    /// Age of these figures at the time of the report.
     pub age: Millis,
 }
 
-/// A change to a target's prefix cache.
+/// A change of a target's prefix cache.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Counts up by one per event, so that gaps can be seen.
+    /// Sequence number, which rises by one per event and so reveals gaps.
     pub seq: u64,
     /// Hash of the prefix.
     pub prefix: u64,
-    /// Whether the prefix was added or dropped.
+    /// Whether the prefix was added; `false` if the prefix was dropped.
     pub added: bool,
 }
 
-/// A target's report of itself.
+/// A target's report about itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// The target.
+    /// Instance that runs the target.
     pub instance: InstanceId,
-    /// Changes with every start of the target.
+    /// Incarnation of the target, which changes with every start.
     pub incarnation: u64,
-    /// What it does.
+    /// Current duty.
     pub duty: Duty,
-    /// The highest fence that it has seen.
+    /// Highest fence that the target has seen.
     pub fence: Fence,
-    /// Whether it says of itself that it is leaving.
+    /// Whether the target announces that it is leaving.
     pub leaving: bool,
-    /// How loaded it is.
+    /// Load figures.
     pub pressure: Pressure,
-    /// Recent cache events, possibly with gaps.
+    /// Recent events of the prefix cache, possibly with gaps.
     pub cache: Vec<CacheEvent>,
 }
 
-/// Orders the orders of successive holders: a lower one is stale.
+/// A fencing token that ranks orders, also those of successive lease holders.
+///
+/// An order with a lower fence than one already seen is stale.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Fence {
-    /// The term of the hall's lease.
+    /// Term of the hall's lease under which the order was given.
     pub term: u64,
-    /// The epoch within all terms; each order of a plan has its own.
+    /// Epoch of the order, counted across all terms; each order of a plan has its own.
     pub epoch: u64,
 }
 
-/// What a target is ordered to do.
+/// The task that an order assigns to a target.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "task", rename_all = "snake_case")]
 pub enum Task {
-    /// Join a group and load what it runs.
+    /// Join a group and load the group's model and adapters.
     Join(Membership),
-    /// Load weights while idle, so that joining a group needs no loading.
+    /// Load weights while idle, so that joining a group later needs no loading.
     Warm {
-        /// What to load.
+        /// Model and adapters to load.
         load: Load,
     },
     /// Leave any group and hold no requests.
     Reset,
-    /// Take no new requests of the group; those under way go on.
+    /// Accept no new requests for the group; active requests continue.
     Quiesce {
-        /// The group.
+        /// Name of the group.
         group: GroupId,
-        /// Its epoch.
+        /// Epoch of the group's formation.
         epoch: u64,
     },
 }
@@ -174,24 +176,24 @@
 /// An order to a target.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// Which instance it is for.
+    /// Instance that the order is addressed to.
     pub instance: InstanceId,
-    /// Which incarnation it is for; another one refuses it.
+    /// Incarnation that the order is addressed to; any other incarnation refuses the order.
     pub incarnation: u64,
-    /// Orders among orders.
+    /// Fencing token of the order.
     pub fence: Fence,
-    /// What to do.
+    /// Task to carry out.
     pub task: Task,
 }
 
-/// A target's answer to an order.
+/// A target's reply to an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderReply {
-    /// Done or begun.
+    /// The task is done or has begun.
     Taken,
-    /// The fence is lower than one already seen.
+    /// The fence of the order is lower than one already seen.
     Stale,
-    /// Meant for another instance or incarnation.
+    /// The order is addressed to another instance or incarnation.
     Stranger,
 }
--- a/crates/thistlesill-core/src/row.rs
+++ b/crates/thistlesill-core/src/row.rs
@@ -1,4 +1,4 @@
-//! The rows that the system keeps in the platform's table service.
+//! Rows that the system stores in the platform's table service, and their keys.
 
 use std::collections::BTreeMap;
 
@@ -8,161 +8,163 @@
 use crate::settings::Branch;
 use crate::{CustomerId, DomainId, GroupId, HallId, InstanceId, NodeId, RequestId};
 
-/// Who holds the right to give orders in a hall.
+/// The lease of a hall, whose holder has the right to give orders there.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRow {
-    /// The holder.
+    /// Daemon that holds the lease.
     pub holder: NodeId,
-    /// Counts the holders.
+    /// Term, which rises by one whenever a daemon takes over the lease.
     pub term: u64,
-    /// Counts the renewals, so that others can see that it is alive.
+    /// Renewal counter, by which other daemons see that the holder is alive.
     pub beat: u64,
-    /// Whether the holder gave it up.
+    /// Whether the holder has released the lease.
     pub free: bool,
 }
 
-/// The term alone, which changes only with the holder; plan writes are
-/// guarded by it.
+/// The term of a hall's lease in a row of its own.
+///
+/// Unlike the row of the lease, this row does not change with renewals, only when a daemon takes
+/// over the lease. Writes of the plan are therefore guarded by this row.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TermRow {
-    /// The term.
+    /// Term of the current holder.
     pub term: u64,
 }
 
-/// A planned group.
+/// A group of the plan.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupRow {
-    /// The group.
+    /// Name of the group.
     pub group: GroupId,
-    /// The epoch of its forming.
+    /// Epoch of the group's formation.
     pub epoch: u64,
-    /// Its fabric domain.
+    /// Fabric domain of all members.
     pub domain: DomainId,
-    /// Members in order of rank.
+    /// Members, in order of their ranks.
     pub members: Vec<InstanceId>,
-    /// What it runs.
+    /// Model and adapters that the group runs.
     pub load: Load,
 }
 
-/// Which group an instance belongs to.
+/// The use of an instance in the plan.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InstanceRow {
-    /// Its use.
+    /// How the plan uses the instance.
     pub held: Held,
 }
 
-/// How an instance is held by the plan.
+/// The way in which the plan uses an instance.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "held", rename_all = "snake_case")]
 pub enum Held {
-    /// Member of a group.
+    /// The instance is a member of a group.
     Member {
-        /// The group.
+        /// Name of the group.
         group: GroupId,
-        /// Its epoch.
+        /// Epoch of the group's formation.
         epoch: u64,
     },
-    /// Left a group, and not to be used until it has taken a reset or has
-    /// come back with another incarnation.
+    /// The instance has left a group, and must not be used until it has accepted a reset or has
+    /// restarted with another incarnation.
     Aside {
-        /// The incarnation that left.
+        /// Incarnation that left the group.
         incarnation: u64,
     },
 }
 
-/// The claim of a request that may run once only.
+/// The claim of an idempotency key by a request that may be executed only once.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRow {
-    /// The request that holds the key.
+    /// Request that holds the key.
     pub request: RequestId,
-    /// The router that claimed.
+    /// Router that wrote the claim.
     pub router: NodeId,
-    /// SHA-256 of the body.
+    /// SHA-256 of the request's body.
     pub body: String,
-    /// The outcome, once it is known.
+    /// Recorded answer, once known.
     pub outcome: Option<Outcome>,
 }
 
 /// The recorded answer of a claimed request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Outcome {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
     /// Media type of the body.
     pub media: String,
-    /// The body; absent if it was too large to keep.
+    /// Body of the answer; `None` if the body was too large to record.
     pub body: Option<String>,
 }
 
-/// The head of the settings.
+/// The head row of the settings, which holds their revision.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeadRow {
-    /// The revision in force.
+    /// Revision in force.
     pub revision: u64,
 }
 
 /// One accepted edit of the settings.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EditRow {
-    /// The revision that it made.
+    /// Revision that the edit created.
     pub revision: u64,
-    /// Names the edit, so that its writer knows it again.
+    /// Id of the edit, by which its writer can find out whether the edit was accepted.
     pub edit: RequestId,
-    /// Who made it.
+    /// Author of the edit.
     pub editor: String,
-    /// Why.
+    /// Reason for the edit, given by the author.
     pub note: String,
-    /// Changed branches; `None` for a removed one.
+    /// Changed branches by path; `None` for a removed branch.
     pub changes: BTreeMap<String, Option<Branch>>,
-    /// The same branches as they were; `None` for a new one.
+    /// The same branches before the edit; `None` for a new branch.
     pub before: BTreeMap<String, Option<Branch>>,
 }
 
-/// Key of the settings' head.
+/// Key of the head row of the settings.
 pub const HEAD_KEY: &str = "settings/head";
-/// Prefix of the settings' branches.
+/// Key prefix of the branches of the settings.
 pub const BRANCH_PREFIX: &str = "settings/branch";
-/// Prefix of all that makes up the settings in force.
+/// Key prefix of the head row and all branches: the settings in force.
 pub const SETTINGS_PREFIX: &str = "settings/";
-/// Prefix of the settings' edits.
+/// Key prefix of the edits of the settings.
 pub const EDIT_PREFIX: &str = "edits/";
 
-/// Key of a branch.
+/// Returns the key of a branch.
 pub fn branch_key(path: &str) -> String {
     format!("{BRANCH_PREFIX}{path}")
 }
 
-/// Key of an edit.
+/// Returns the key of the edit that created a revision.
 pub fn edit_key(revision: u64) -> String {
     format!("{EDIT_PREFIX}{revision:012}")
 }
 
-/// Key of a hall's lease.
+/// Returns the key of a hall's lease.
 pub fn lease_key(hall: &HallId) -> String {
     format!("halls/{hall}/lease")
 }
 
-/// Key of a hall's term.
+/// Returns the key of the term of a hall's lease.
 pub fn term_key(hall: &HallId) -> String {
     format!("halls/{hall}/term")
 }
 
-/// Prefix of a hall's plan.
+/// Returns the key prefix of a hall's plan.
 pub fn plan_prefix(hall: &HallId) -> String {
     format!("halls/{hall}/plan/")
 }
 
-/// Key of a group.
+/// Returns the key of a planned group.
 pub fn group_key(hall: &HallId, group: &GroupId) -> String {
     format!("halls/{hall}/plan/group/{group}")
 }
 
-/// Key of an instance.
+/// Returns the key of an instance in a hall's plan.
 pub fn instance_key(hall: &HallId, instance: &InstanceId) -> String {
     format!("halls/{hall}/plan/instance/{instance}")
 }
 
-/// Key of a claim.
+/// Returns the key of the claim of a customer's idempotency key.
 pub fn claim_key(customer: &CustomerId, key: &str) -> String {
     format!("claims/{customer}/{key}")
 }
--- a/crates/thistlesill-core/src/seal.rs
+++ b/crates/thistlesill-core/src/seal.rs
@@ -1,4 +1,4 @@
-//! Proof of a shared key on messages between daemons and on orders.
+//! Authentication of messages between daemons and of orders with a shared key.
 
 use hmac::{Hmac, KeyInit, Mac};
 use serde::Serialize;
@@ -6,27 +6,29 @@
 use sha2::{Digest, Sha256};
 use snafu::Snafu;
 
-/// Bytes of the proof in front of a sealed message.
+/// Length in bytes of the authentication tag that precedes the body of a sealed message.
 pub const TAG_LEN: usize = 16;
 
-/// Bytes of the largest datagram that is read or written.
+/// Size in bytes of the largest datagram that is sent or received.
 pub const MAX_DATAGRAM: usize = 8 * 1024;
 
-/// Why a sealed message was not accepted.
+/// The error for a sealed message that was rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub enum SealError {
-    /// Shorter than a proof, or longer than a datagram.
-    #[snafu(display("message of wrong length"))]
+    /// The message is shorter than an authentication tag, or longer than a datagram.
+    #[snafu(display("message has an invalid length"))]
     Length,
-    /// The proof does not match the shared key.
-    #[snafu(display("message without the shared key's proof"))]
+    /// The authentication tag does not match the message and the shared key.
+    #[snafu(display("message is not authenticated with the shared key"))]
     Proof,
-    /// The content could not be decoded.
-    #[snafu(display("message of unknown content"))]
+    /// The message body could not be decoded.
+    #[snafu(display("message content cannot be decoded"))]
     Content,
 }
 
-/// The key that the daemons of one fleet share.
+/// The secret key shared by the daemons of one fleet.
+///
+/// The `Debug` output does not contain the key.
 #[derive(Clone)]
 pub struct SharedKey(Vec<u8>);
 
@@ -37,12 +39,12 @@
 }
 
 impl SharedKey {
-    /// Makes a key of its bytes.
+    /// Creates a key from its bytes.
     pub fn new(bytes: impl Into<Vec<u8>>) -> Self {
         Self(bytes.into())
     }
 
-    /// The proof for a message.
+    /// Returns the authentication tag of a message: its truncated HMAC-SHA-256.
     ///
     /// # Panics
     ///
@@ -54,12 +56,12 @@
         tag
     }
 
-    /// Whether `tag` proves `message`, compared in constant time.
+    /// Returns whether `tag` is the authentication tag of `message`, compared in constant time.
     pub fn proves(&self, message: &[u8], tag: &[u8]) -> bool {
         tag.len() == TAG_LEN && self.mac(message).verify_truncated_left(tag).is_ok()
     }
 
-    /// Encodes and seals a message.
+    /// Encodes a message and prepends its authentication tag.
     ///
     /// # Panics
     ///
@@ -71,11 +73,11 @@
         bytes
     }
 
-    /// Checks and decodes a sealed message.
+    /// Verifies and decodes a sealed message.
     ///
     /// # Errors
     ///
-    /// A [`SealError`] for a wrong length, proof or content.
+    /// Returns a [`SealError`] if the length, the authentication tag or the content is invalid.
     pub fn open<T: DeserializeOwned>(&self, bytes: &[u8]) -> Result<T, SealError> {
         let (tag, body) = bytes.split_at_checked(TAG_LEN).ok_or(SealError::Length)?;
         if !self.proves(body, tag) {
@@ -91,7 +93,7 @@
     }
 }
 
-/// The SHA-256 of a text in hexadecimal, as the settings hold tokens.
+/// Returns the SHA-256 of a text in hexadecimal, the form in which the settings hold tokens.
 pub fn sha256_hex(text: &[u8]) -> String {
     hex::encode(Sha256::digest(text))
 }
--- a/crates/thistlesill-core/src/settings.rs
+++ b/crates/thistlesill-core/src/settings.rs
@@ -1,9 +1,9 @@
 //! The tree of settings that operators edit.
 //!
-//! A branch covers part of the fleet (a region, hall, fabric domain, hardware
-//! generation or customer), inherits from its parent, and overrides what it
-//! must. Where several children of a branch match, they apply in the order of
-//! [`Cover`]: region, hall, domain, generation, customer; the later wins.
+//! A branch covers part of the fleet (a region, hall, fabric domain, hardware generation or
+//! customer), inherits the values of its parent and overrides some of them. If several children
+//! of a branch match, they apply in the order of [`Cover`]: region, hall, domain, generation,
+//! customer. Later ones override earlier ones.
 
 mod check;
 mod file;
--- a/crates/thistlesill-core/src/settings/check.rs
+++ b/crates/thistlesill-core/src/settings/check.rs
@@ -1,4 +1,4 @@
-//! The check that a whole tree must pass before it is accepted.
+//! Validation of a whole settings tree, required before the tree is accepted.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -9,13 +9,13 @@
 use super::{Branch, Cover, ROOT, Values};
 use crate::suggest::nearest;
 
-/// The most branches that a tree may have.
+/// Largest number of branches in a tree.
 const MAX_BRANCHES: usize = 100_000;
-/// The most members that a group may have.
+/// Largest number of members of a group.
 const MAX_MEMBERS: u32 = 256;
-/// Characters of a SHA-256 in hexadecimal.
+/// Length of a SHA-256 in hexadecimal.
 const SHA256_CHARS: usize = 64;
-/// Values that the root must set, since every group or request needs them.
+/// Values that the root branch must set, since every group or request needs them.
 const ROOT_VALUES: &[&str] = &[
     "model",
     "version",
@@ -29,15 +29,15 @@
     "retry_percent",
 ];
 
-/// Something wrong in a tree.
+/// A violation of the rules for settings trees.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu, Serialize, Deserialize)]
 #[snafu(display("branch `{path}`: {text}"))]
 pub struct Fault {
-    /// The branch.
+    /// Path of the branch.
     pub path: String,
-    /// The value, if one is to blame.
+    /// Name of the wrong value, if the fault is in a single one.
     pub field: Option<String>,
-    /// What is wrong and what would be right.
+    /// What is wrong, and what is required instead.
     pub text: String,
 }
 
@@ -51,12 +51,12 @@
     }
 }
 
-/// Returns all that is wrong in a tree; nothing if it may be accepted.
+/// Returns all faults of a tree; the tree may be accepted if there are none.
 pub fn check(branches: &BTreeMap<String, Branch>) -> Vec<Fault> {
     let mut faults = Vec::new();
     check_root(branches, &mut faults);
     if branches.len() > MAX_BRANCHES {
-        let text = format!("{} branches; at most {MAX_BRANCHES}", branches.len());
+        let text = format!("{} branches; the limit is {MAX_BRANCHES}", branches.len());
         faults.push(Fault::new(ROOT, None, text));
     }
     for (path, branch) in branches {
@@ -103,8 +103,8 @@
 }
 
 fn valid_part(part: &str) -> bool {
-    let fits = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-    !part.is_empty() && part.chars().all(fits)
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
+    !part.is_empty() && part.chars().all(is_allowed)
 }
 
 fn check_values(path: &str, branch: &Branch, faults: &mut Vec<Fault>) {
@@ -116,14 +116,14 @@
         .downtime_weight
         .is_some_and(|w| !(0.0..=1.0).contains(&w))
     {
-        fault("downtime_weight", "`downtime_weight` must lie from 0 to 1");
+        fault("downtime_weight", "`downtime_weight` must be from 0 to 1");
     }
     if values
         .shapes
         .as_ref()
         .is_some_and(|s| s.iter().any(|s| !(1..=MAX_MEMBERS).contains(&s.instances)))
     {
-        fault("shapes", "`instances` of a shape must lie from 1 to 256");
+        fault("shapes", "`instances` of a shape must be from 1 to 256");
     }
     if values.token_sha256.as_ref().is_some_and(|t| !is_sha256(t)) {
         fault(
@@ -143,7 +143,7 @@
         }
     }
     if values.retry_percent.is_some_and(|p| p > 100) {
-        fault("retry_percent", "`retry_percent` must lie from 0 to 100");
+        fault("retry_percent", "`retry_percent` must be from 0 to 100");
     }
 }
 
--- a/crates/thistlesill-core/src/settings/file.rs
+++ b/crates/thistlesill-core/src/settings/file.rs
@@ -1,4 +1,4 @@
-//! The file form of a tree, with errors that name file, line and column.
+//! Parsing of settings files, with errors that name file, line and column.
 
 use std::collections::BTreeMap;
 
@@ -8,47 +8,50 @@
 use super::{Branch, Fault, check};
 use crate::jsonc::{self, Place};
 
-/// The most bytes of a tree's file.
-const MAX_FILE: usize = 16 << 20;
+/// Largest settings file that is parsed.
+const MAX_FILE_BYTES: usize = 16 << 20;
 
-/// A tree as operators write it.
+/// A settings tree in the form that operators write.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TreeFile {
-    /// The revision that the file was made from; `settings put` accepts the
-    /// file only while that revision is in force.
+    /// Revision that the file is based on; `settings put` accepts the file only while that
+    /// revision is in force.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub revision: Option<u64>,
-    /// The branches by path.
+    /// Branches by path.
     pub branches: BTreeMap<String, Branch>,
 }
 
-/// Why a file was refused.
+/// The error for one fault in a settings file.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("{file}:{place}: {text}"))]
 pub struct FileError {
-    /// The file's name.
+    /// Name of the file.
     pub file: String,
-    /// The place in it.
+    /// Position of the fault in the file.
     pub place: Place,
-    /// What is wrong and what would be right.
+    /// What is wrong, and what is required instead.
     pub text: String,
 }
 
-/// Reads and checks a tree.
+/// Parses and validates the text of a settings file; `file` names the file in errors.
 ///
 /// # Errors
 ///
-/// One error per thing that is wrong: a syntax error alone, or all faults
-/// that [`check`] finds, each with its place.
+/// Returns a single error for a syntax error, or else one error with a position for every fault
+/// that [`check`] finds.
 pub fn parse_file(file: &str, text: &str) -> Result<TreeFile, Vec<FileError>> {
     let error = |place, text| FileError {
         file: file.to_owned(),
         place,
         text,
     };
-    if text.len() > MAX_FILE {
-        let text = format!("the file has {} bytes; at most {MAX_FILE}", text.len());
+    if text.len() > MAX_FILE_BYTES {
+        let text = format!(
+            "the file has {} bytes; the limit is {MAX_FILE_BYTES}",
+            text.len()
+        );
         return Err(vec![error(Place { line: 1, column: 1 }, text)]);
     }
     let tree: TreeFile = jsonc::from_str(text).map_err(|e| vec![error(e.place, e.text)])?;
--- a/crates/thistlesill-core/src/settings/tree.rs
+++ b/crates/thistlesill-core/src/settings/tree.rs
@@ -1,4 +1,4 @@
-//! The whole tree at a revision, and how values are resolved from it.
+//! The settings tree at one revision, and the resolution of values from the tree.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -8,23 +8,25 @@
 use crate::message::BranchEntry;
 use crate::{Adapter, CustomerId, DomainId, Generation, HallId, Model, RegionId};
 
-/// What to resolve values for. Absent parts match no branch that covers one.
+/// The part of the fleet and the customer for which values are resolved.
+///
+/// A branch that covers, for example, a hall does not match a context without a hall.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Context {
-    /// The region.
+    /// Region, if any.
     pub region: Option<RegionId>,
-    /// The hall.
+    /// Hall, if any.
     pub hall: Option<HallId>,
-    /// The fabric domain.
+    /// Fabric domain, if any.
     pub domain: Option<DomainId>,
-    /// The hardware generation.
+    /// Hardware generation, if any.
     pub generation: Option<Generation>,
-    /// The customer.
+    /// Customer, if any.
     pub customer: Option<CustomerId>,
 }
 
 impl Context {
-    /// A context that only names a customer.
+    /// Creates a context with only a customer.
     pub fn customer(customer: CustomerId) -> Self {
         Self {
             customer: Some(customer),
@@ -32,21 +34,21 @@
         }
     }
 
-    /// The same context with a customer.
+    /// Sets the customer of the context.
     #[must_use]
     pub fn with_customer(mut self, customer: CustomerId) -> Self {
         self.customer = Some(customer);
         self
     }
 
-    /// The same context within a region.
+    /// Sets the region of the context.
     #[must_use]
     pub fn with_region(mut self, region: RegionId) -> Self {
         self.region = Some(region);
         self
     }
 
-    /// The same context within a hall.
+    /// Sets the hall of the context.
     #[must_use]
     pub fn with_hall(mut self, hall: HallId) -> Self {
         self.hall = Some(hall);
@@ -65,32 +67,32 @@
     }
 }
 
-/// Where a resolved value came from.
+/// The origin of a resolved value.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Origin {
-    /// The value's name.
+    /// Name of the value.
     pub name: String,
-    /// The branch that set it.
+    /// Path of the branch that set the value.
     pub path: String,
 }
 
-/// Values that hold in a context.
+/// The values that apply in a context, with their origins.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Resolved {
-    /// The values.
+    /// Resolved values.
     pub values: Values,
-    /// The branch that each value came from.
+    /// Origin of each value that is set.
     pub origins: Vec<Origin>,
 }
 
-/// What changed between two trees, by path.
+/// The difference between two settings trees.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct TreeDiff {
-    /// Changed branches; `None` for a removed one.
+    /// Changed branches by path; `None` for a removed branch.
     pub changes: BTreeMap<String, Option<Branch>>,
 }
 
-/// All branches at one revision.
+/// All branches of the settings at one revision.
 ///
 /// # Examples
 ///
@@ -106,37 +108,40 @@
 /// };
 /// let branches = BTreeMap::from([("/".to_owned(), root), ("/concord".to_owned(), hall)]);
 /// let tree = Tree::new(1, branches);
-/// let there = Context::default().with_hall("concord".into());
-/// assert_eq!(tree.resolve(&there).slots, Some(4));
+/// let in_hall = Context::default().with_hall("concord".into());
+/// assert_eq!(tree.resolve(&in_hall).slots, Some(4));
 /// assert_eq!(tree.resolve(&Context::default()).slots, Some(8));
 /// ```
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Tree {
     revision: u64,
     branches: BTreeMap<String, Branch>,
-    /// Children by parent and cover: resolving costs the depth of the tree
-    /// and not the number of its branches.
+    /// Children by parent path and cover, so that the cost of resolving values grows with the
+    /// depth of the tree and not with the number of branches.
     children: HashMap<String, Children>,
+    /// Customers by the SHA-256 of their tokens.
     tokens: HashMap<String, CustomerId>,
 }
 
 #[derive(Debug, Clone, Default, PartialEq)]
 struct Children {
-    plain: Vec<String>,
+    /// Paths of the children that cover no part of the fleet of their own.
+    uncovered: Vec<String>,
+    /// Paths of the other children by their covers.
     covering: HashMap<Cover, String>,
 }
 
 impl Tree {
-    /// Makes a tree of its branches.
+    /// Creates a tree from its branches by path.
     pub fn new(revision: u64, branches: BTreeMap<String, Branch>) -> Self {
         let mut children: HashMap<String, Children> = HashMap::new();
         let mut tokens = HashMap::new();
         for (path, branch) in &branches {
-            index_token(&mut tokens, branch);
+            add_token(&mut tokens, branch);
             let Some(parent) = parent(path) else { continue };
             let entry = children.entry(parent.to_owned()).or_default();
             match &branch.covers {
-                None => entry.plain.push(path.clone()),
+                None => entry.uncovered.push(path.clone()),
                 Some(cover) => {
                     entry.covering.insert(cover.clone(), path.clone());
                 }
@@ -150,29 +155,29 @@
         }
     }
 
-    /// The revision.
+    /// Returns the revision of the tree.
     pub const fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// All branches by path.
+    /// Returns all branches by path.
     pub const fn branches(&self) -> &BTreeMap<String, Branch> {
         &self.branches
     }
 
-    /// The branches as they go over the wire.
+    /// Returns all branches, encoded for the wire.
     pub fn entries(&self) -> Vec<BranchEntry> {
         let list = self.branches.iter();
         list.map(|(path, branch)| BranchEntry::new(path, branch))
             .collect()
     }
 
-    /// The customer whose token has this SHA-256.
+    /// Returns the customer whose token has the given SHA-256 in hexadecimal.
     pub fn customer_of(&self, token_sha256: &str) -> Option<&CustomerId> {
         self.tokens.get(token_sha256)
     }
 
-    /// All customers that branches name.
+    /// Returns all customers that are covered by some branch.
     pub fn customers(&self) -> BTreeSet<CustomerId> {
         let covers = self.branches.values().filter_map(|b| b.covers.as_ref());
         covers
@@ -183,7 +188,7 @@
             .collect()
     }
 
-    /// The adapters that customers use with `model` in a context, in order.
+    /// Returns the adapters that any customers use with `model` in a context, sorted by name.
     pub fn adapters(&self, context: &Context, model: &Model) -> Vec<Adapter> {
         let mut found = BTreeSet::new();
         for customer in self.customers() {
@@ -195,14 +200,14 @@
         found.into_iter().collect()
     }
 
-    /// The values that hold in a context.
+    /// Returns the values that apply in a context.
     pub fn resolve(&self, context: &Context) -> Values {
         let mut values = Values::default();
         self.visit(ROOT, context, &mut |_, branch| values.overlay(branch));
         values
     }
 
-    /// The values that hold in a context, with the branch of each.
+    /// Returns the values that apply in a context, with the branch that set each of them.
     pub fn explain(&self, context: &Context) -> Resolved {
         let mut values = Values::default();
         let mut from: BTreeMap<&'static str, String> = BTreeMap::new();
@@ -222,7 +227,7 @@
         }
     }
 
-    /// What must change in `self` to give `other`.
+    /// Returns the changes that turn this tree's branches into `other`.
     pub fn diff(&self, other: &BTreeMap<String, Branch>) -> TreeDiff {
         let mut changes = BTreeMap::new();
         for (path, branch) in other {
@@ -236,7 +241,7 @@
         TreeDiff { changes }
     }
 
-    /// The same tree with changes applied, at another revision.
+    /// Returns the tree that results from applying changes, at the given revision.
     #[must_use]
     pub fn apply(&self, revision: u64, diff: &TreeDiff) -> Self {
         let mut branches = self.branches.clone();
@@ -249,34 +254,35 @@
         Self::new(revision, branches)
     }
 
-    /// Whether a revision is newer than this one: the only one to take.
+    /// Returns whether `revision` is newer than this tree's: only then may a tree of that
+    /// revision replace this one.
     pub const fn yields_to(&self, revision: u64) -> bool {
         revision > self.revision
     }
 
-    fn visit(&self, path: &str, context: &Context, f: &mut impl FnMut(&str, &Branch)) {
+    fn visit(&self, path: &str, context: &Context, visitor: &mut impl FnMut(&str, &Branch)) {
         let Some(branch) = self.branches.get(path) else {
             return;
         };
         if !context.matches(branch.covers.as_ref()) {
             return;
         }
-        f(path, branch);
+        visitor(path, branch);
         let Some(children) = self.children.get(path) else {
             return;
         };
-        for child in &children.plain {
-            self.visit(child, context, f);
+        for child in &children.uncovered {
+            self.visit(child, context, visitor);
         }
         for cover in context_covers(context) {
             if let Some(child) = children.covering.get(&cover) {
-                self.visit(child, context, f);
+                self.visit(child, context, visitor);
             }
         }
     }
 }
 
-/// The covers that a context matches, in the order in which they apply.
+/// Returns the covers that match a context, in the order in which they apply.
 fn context_covers(context: &Context) -> impl Iterator<Item = Cover> {
     let region = context.region.clone().map(Cover::Region);
     let hall = context.hall.clone().map(Cover::Hall);
@@ -288,13 +294,13 @@
         .flatten()
 }
 
-fn index_token(tokens: &mut HashMap<String, CustomerId>, branch: &Branch) {
+fn add_token(tokens: &mut HashMap<String, CustomerId>, branch: &Branch) {
     if let (Some(Cover::Customer(customer)), Some(token)) = (&branch.covers, &branch.token_sha256) {
         tokens.insert(token.clone(), customer.clone());
     }
 }
 
-/// The path of a branch's parent; `None` for the root.
+/// Returns the path of a branch's parent; `None` for the root.
 pub(super) fn parent(path: &str) -> Option<&str> {
     if path == ROOT {
         return None;
--- a/crates/thistlesill-core/src/settings/values.rs
+++ b/crates/thistlesill-core/src/settings/values.rs
@@ -1,58 +1,58 @@
-//! The values that a branch can set, and what it covers.
+//! Branches of the settings: the values that they can set, and what they cover.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{Adapter, CustomerId, DomainId, Generation, HallId, Model, RegionId, Version};
 
-/// The part of the fleet that a branch applies to, within its parent's.
+/// The part of the fleet that a branch applies to, within the part that its parent covers.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Cover {
-    /// A region.
+    /// One region.
     Region(RegionId),
-    /// A hall.
+    /// One hall.
     Hall(HallId),
-    /// A fabric domain.
+    /// One fabric domain.
     Domain(DomainId),
-    /// A hardware generation.
+    /// One hardware generation of accelerators.
     Generation(Generation),
-    /// A customer.
+    /// One customer.
     Customer(CustomerId),
 }
 
-/// A size of group that may be formed on one generation.
+/// A size of groups that may be formed on one hardware generation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Shape {
-    /// The generation of all members.
+    /// Hardware generation of all members.
     pub generation: Generation,
-    /// How many members.
+    /// Number of members.
     pub instances: u32,
 }
 
-/// Defines the optional values of a branch, and their union.
+/// Defines [`Values`], [`Branch`] and the conversions between them from one list of values.
 macro_rules! values {
     ($($(#[$doc:meta])* $field:ident: $type:ty,)*) => {
-        /// The values that a branch sets; absent ones are inherited.
+        /// The values that a branch sets; absent ones are inherited from the parent.
         #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
         #[serde(deny_unknown_fields, default)]
         pub struct Values {
             $($(#[$doc])* #[serde(skip_serializing_if = "Option::is_none")] pub $field: Option<$type>,)*
         }
 
-        /// A branch: what it covers and what it sets.
+        /// A branch: the part of the fleet that it covers, and the values that it sets.
         #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
         #[serde(deny_unknown_fields, default)]
         pub struct Branch {
-            /// The part of the fleet that it covers; absent for the root and
-            /// for branches that only group others.
+            /// Part of the fleet that the branch covers; `None` for the root and for branches that
+            /// only group other branches.
             #[serde(skip_serializing_if = "Option::is_none")]
             pub covers: Option<Cover>,
             $($(#[$doc])* #[serde(skip_serializing_if = "Option::is_none")] pub $field: Option<$type>,)*
         }
 
         impl Branch {
-            /// The values without the cover.
+            /// Returns the values of the branch, without the cover.
             pub fn values(&self) -> Values {
                 Values { $($field: self.$field.clone(),)* }
             }
@@ -62,12 +62,12 @@
             /// The names of all values.
             pub const NAMES: &'static [&'static str] = &[$(stringify!($field),)*];
 
-            /// Takes over the values that `branch` sets.
+            /// Overrides values by those that `branch` sets.
             pub fn overlay(&mut self, branch: &Branch) {
                 $(if branch.$field.is_some() { self.$field.clone_from(&branch.$field); })*
             }
 
-            /// The names of the values that are set.
+            /// Returns the names of the values that are set.
             pub fn set_names(&self) -> Vec<&'static str> {
                 let mut names = Vec::new();
                 $(if self.$field.is_some() { names.push(stringify!($field)); })*
@@ -78,46 +78,45 @@
 }
 
 values! {
-    /// The model that groups run.
+    /// Model that groups run.
     model: Model,
-    /// The version of its weights.
+    /// Version of the model's weights.
     version: Version,
-    /// The adapter that a customer's requests use.
+    /// Adapter that a customer's requests use.
     adapter: Adapter,
-    /// The shapes of group that may be formed, best first.
+    /// Shapes of groups that may be formed, best first.
     shapes: Vec<Shape>,
-    /// Weight of group downtime against stranded accelerators, 0 to 1.
+    /// Weight of group downtime against stranded accelerators, from 0 to 1.
     downtime_weight: f64,
     /// Instances kept ready per fabric domain to replace a lost member.
     spares: u32,
-    /// Whether the targets refuse orders with a stale fence.
+    /// Whether targets refuse orders with a stale fence.
     checks_orders: bool,
-    /// The longest that an order may be under way, in milliseconds.
+    /// Longest time that an order may be in transit, in milliseconds.
     order_delay_ms: u64,
-    /// The age from which a member's report counts no more, in milliseconds.
+    /// Age at which a member's report becomes invalid, in milliseconds.
     presence_ms: u64,
-    /// How long a group that is to change may go on with its streams, in
-    /// milliseconds.
+    /// Time for which a group that is about to change may continue its streams, in milliseconds.
     drain_ms: u64,
-    /// Requests that a group may run at a time, at most.
+    /// Largest number of requests that a group runs concurrently.
     slots: u32,
-    /// Group loads that may be under way at a time in a hall.
+    /// Largest number of groups in a hall that load weights at the same time.
     loads: u32,
-    /// The deadline of a request that states none, in milliseconds.
+    /// Deadline of a request, in milliseconds; callers may only state an earlier one.
     deadline_ms: u64,
-    /// The time to the first token that limits aim at, in milliseconds.
+    /// Objective for the time to the first token, which the limits aim at, in milliseconds.
     first_token_ms: u64,
-    /// Attempts of a request, the first included.
+    /// Largest number of attempts of a request, the first included.
     attempts: u32,
-    /// Retries per hundred requests that a router may add.
+    /// Largest number of retries that a router adds per hundred requests.
     retry_percent: u32,
-    /// Whether requests may be repeated.
+    /// Whether requests may be executed more than once.
     repeatable: bool,
-    /// Whether a request that may not be repeated must carry a key.
+    /// Whether a request that may be executed only once must carry an idempotency key.
     key_required: bool,
-    /// Priority of requests for the engine; lower goes first.
+    /// Priority of requests at the engine; lower numbers go first.
     priority: u8,
-    /// The customer's share of capacity, relative to other customers.
+    /// Share of the capacity that the customer gets, relative to other customers.
     share: u32,
     /// SHA-256 of the customer's token, in hexadecimal.
     token_sha256: String,
--- a/crates/thistlesill-core/src/suggest.rs
+++ b/crates/thistlesill-core/src/suggest.rs
@@ -1,9 +1,9 @@
-//! Suggestions of the nearest right word for a wrong one.
+//! Suggestions for misspelled words.
 
-/// The similarity from which a word is worth suggesting, 0 to 1.
+/// Lowest similarity of a suggestion, from 0 to 1.
 const MIN_SIMILARITY: f64 = 0.6;
 
-/// Returns the word of `known` nearest to `word`, if any is near.
+/// Returns the word of `known` that is most similar to `word`, if any is similar enough.
 ///
 /// # Examples
 ///
--- a/crates/thistlesill-core/src/table.rs
+++ b/crates/thistlesill-core/src/table.rs
@@ -1,13 +1,13 @@
 //! Messages of the platform's transactional table service.
 //!
-//! The service speaks JSON over HTTP: `POST /table/txn` commits writes if
-//! all guards hold, `POST /table/read` returns a consistent range.
+//! The service uses JSON over HTTP: `POST /table/txn` commits writes if all guards hold, and
+//! `POST /table/read` returns a consistent range of rows.
 
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-/// A row's key: parts separated by `/`.
+/// The key of a row: parts separated by `/`.
 pub type RowKey = Arc<str>;
 
 /// A condition on a row, checked when a transaction commits.
@@ -16,20 +16,20 @@
 pub enum Guard {
     /// The row does not exist.
     Absent {
-        /// The row.
+        /// Key of the row.
         key: RowKey,
     },
-    /// The row exists and was last written at this version.
+    /// The row exists and was last written at the given version.
     Version {
-        /// The row.
+        /// Key of the row.
         key: RowKey,
-        /// The version.
+        /// Required version of the row.
         version: u64,
     },
 }
 
 impl Guard {
-    /// The row that the condition is on.
+    /// Returns the key of the row that must meet the condition.
     pub const fn key(&self) -> &RowKey {
         match self {
             Self::Absent { key } | Self::Version { key, .. } => key,
@@ -43,29 +43,29 @@
 pub enum Write {
     /// Insert or replace a row.
     Put {
-        /// The row.
+        /// Key of the row.
         key: RowKey,
-        /// Its value, JSON text.
+        /// New value of the row, as JSON text.
         value: String,
     },
-    /// Remove a row, if it is there.
+    /// Remove a row, if the row exists.
     Delete {
-        /// The row.
+        /// Key of the row.
         key: RowKey,
     },
 }
 
-/// A transaction: all writes or none.
+/// A transaction, which applies all of its writes or none.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Txn {
-    /// Conditions, all of which must hold.
+    /// Conditions that must all hold.
     pub guards: Vec<Guard>,
-    /// Writes.
+    /// Writes to apply.
     pub writes: Vec<Write>,
 }
 
 impl Txn {
-    /// An empty transaction.
+    /// Creates an empty transaction.
     pub const fn new() -> Self {
         Self {
             guards: Vec::new(),
@@ -80,7 +80,7 @@
         self
     }
 
-    /// Adds the condition that a row is at `version`; 0 stands for absent.
+    /// Adds the condition that a row is at `version`; 0 means that the row does not exist.
     #[must_use]
     pub fn at(mut self, key: impl Into<RowKey>, version: u64) -> Self {
         let key = key.into();
@@ -91,7 +91,7 @@
         self
     }
 
-    /// Adds a write of a row.
+    /// Adds a write of a row, with `value` encoded as JSON.
     ///
     /// # Panics
     ///
@@ -114,69 +114,69 @@
     }
 }
 
-/// The service's answer to a transaction.
+/// The service's reply to a transaction.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "outcome", rename_all = "snake_case")]
 pub enum TxnReply {
     /// All writes took effect at this version.
     Committed {
-        /// The version.
+        /// Version of the written rows.
         version: u64,
     },
-    /// Nothing was written.
+    /// Nothing was written, since conditions failed.
     Refused {
-        /// The rows whose conditions failed.
+        /// Keys of the rows whose conditions failed.
         failed: Vec<RowKey>,
     },
 }
 
-/// What became of a transaction, as far as its sender knows.
+/// The result of a transaction, as far as the sender knows.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TxnResult {
-    /// The service answered.
+    /// The service replied.
     Replied(TxnReply),
-    /// No answer came: the transaction may have taken effect.
+    /// No reply came: the transaction may have taken effect.
     Unknown,
 }
 
-/// A read of all rows whose keys begin with a prefix.
+/// A read of all rows whose keys begin with any of the given prefixes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Read {
-    /// Prefixes; the rows of all of them are read at one version.
+    /// Key prefixes; the rows of all prefixes are read at one version.
     pub prefixes: Vec<RowKey>,
 }
 
-/// One row.
+/// A row of the table.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
-    /// Its key.
+    /// Key of the row.
     pub key: RowKey,
-    /// The version of its last write.
+    /// Version of the last write to the row.
     pub version: u64,
-    /// Its value, JSON text.
+    /// Value of the row, as JSON text.
     pub value: String,
 }
 
 impl Row {
-    /// Decodes the value.
+    /// Decodes the value from JSON.
     ///
     /// # Errors
     ///
-    /// The decoder's error if the value has another shape.
+    /// Returns the decoder's error if the value does not match the type.
     pub fn decode<T: serde::de::DeserializeOwned>(&self) -> Result<T, serde_json::Error> {
         serde_json::from_str(&self.value)
     }
 }
 
-/// The rows that a read found, in key order.
+/// The rows that a read returned.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rows {
-    /// The rows.
+    /// Rows in the order of their keys.
     pub rows: Vec<Row>,
 }
 
 impl Rows {
-    /// The row of a key.
+    /// Returns the row with the given key.
     pub fn find(&self, key: &str) -> Option<&Row> {
         self.rows.iter().find(|row| &*row.key == key)
     }
--- a/crates/thistlesill-core/src/time.rs
+++ b/crates/thistlesill-core/src/time.rs
@@ -1,14 +1,15 @@
-//! Time as the decisions see it: milliseconds of a monotonic clock, and
-//! stamps of a hybrid logical clock for the time line.
+//! Milliseconds of a monotonic clock, and a hybrid logical clock that stamps the events of the
+//! time line.
 
 use std::fmt;
 use std::ops::{Add, Sub};
 
 use serde::{Deserialize, Serialize};
 
-/// A time or a duration in milliseconds.
+/// A point in time or a duration, in milliseconds.
 ///
-/// Decisions receive the time as an argument; subtraction stops at zero.
+/// Decision code receives the current time as an argument instead of reading a clock.
+/// Addition and subtraction saturate, so a difference is never negative.
 ///
 /// # Examples
 ///
@@ -23,20 +24,20 @@
 pub struct Millis(u64);
 
 impl Millis {
-    /// No time at all.
+    /// Zero milliseconds.
     pub const ZERO: Self = Self(0);
 
-    /// Makes a time of `ms` milliseconds.
+    /// Creates a time of `ms` milliseconds.
     pub const fn new(ms: u64) -> Self {
         Self(ms)
     }
 
-    /// The number of milliseconds.
+    /// Returns the number of milliseconds.
     pub const fn get(self) -> u64 {
         self.0
     }
 
-    /// The time as a standard duration.
+    /// Converts the time into a standard duration.
     pub const fn duration(self) -> std::time::Duration {
         std::time::Duration::from_millis(self.0)
     }
@@ -70,48 +71,48 @@
     }
 }
 
-/// A stamp of the hybrid logical clock.
+/// A time stamp of the hybrid logical clock.
 ///
-/// `wall` is the highest wall clock seen in Unix milliseconds; `count` orders
-/// events within one millisecond and across processes whose clocks differ.
+/// Stamps are ordered by `wall`, then by `count`, which orders events within one millisecond and
+/// across processes whose clocks differ.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Stamp {
-    /// Unix time in milliseconds.
+    /// Highest wall clock time seen, in Unix milliseconds.
     pub wall: u64,
-    /// Order within the millisecond.
+    /// Counter of events at the same `wall`.
     pub count: u32,
 }
 
-/// A hybrid logical clock, driven by wall times passed in.
+/// A hybrid logical clock, which receives wall clock times as arguments.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct HybridClock {
     last: Stamp,
 }
 
 impl HybridClock {
-    /// The furthest that a stamp of another process may lead our wall clock.
-    const MAX_LEAD: u64 = 60_000;
+    /// Longest time by which a stamp of another process may be ahead of the local wall clock.
+    const MAX_LEAD_MS: u64 = 60_000;
 
-    /// A clock that has seen nothing.
+    /// Creates a clock that has seen no stamps.
     pub const fn new() -> Self {
         Self {
             last: Stamp { wall: 0, count: 0 },
         }
     }
 
-    /// Stamps an event of this process.
+    /// Returns the stamp for an event of this process at the wall clock time `wall`.
     pub fn tick(&mut self, wall: u64) -> Stamp {
         self.advance(wall, self.last)
     }
 
-    /// Takes in a stamp of another process, so that later stamps exceed it.
+    /// Merges a stamp of another process, so that the returned stamp and all later ones exceed it.
     ///
-    /// A stamp that leads `wall` by more than a minute is ignored, lest one
-    /// process with a wrong clock drag all others along.
+    /// A stamp that is ahead of `wall` by more than a minute is ignored, since otherwise one
+    /// process with a wrong clock would advance the clocks of all others.
     pub fn merge(&mut self, wall: u64, seen: Stamp) -> Stamp {
-        if seen.wall > wall.saturating_add(Self::MAX_LEAD) {
+        if seen.wall > wall.saturating_add(Self::MAX_LEAD_MS) {
             return self.tick(wall);
         }
         self.advance(wall, self.last.max(seen))
--- a/crates/thistlesill-core/src/timeline.rs
+++ b/crates/thistlesill-core/src/timeline.rs
@@ -1,4 +1,4 @@
-//! Events of the time line, and the bounded ring that each process keeps.
+//! Events of the time line, and the ring buffer that keeps the latest ones of a process.
 
 use std::collections::VecDeque;
 
@@ -6,148 +6,148 @@
 
 use crate::{CustomerId, ErrorKind, GroupId, HallId, InstanceId, NodeId, RequestId, Stamp};
 
-/// What happened.
+/// An event of the time line.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum Happening {
     /// The daemon started.
     Started,
-    /// The daemon was told to stop.
+    /// The daemon received the instruction to stop.
     Stopping,
-    /// A revision of the settings came into force here.
+    /// A revision of the settings came into force at the daemon.
     SettingsInForce {
-        /// The revision.
+        /// Revision of the settings.
         revision: u64,
     },
     /// A request arrived.
     Arrived {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
-        /// Its customer.
+        /// Customer that sent the request.
         customer: CustomerId,
     },
-    /// A claim was granted.
+    /// The claim of a request's idempotency key was granted.
     Claimed {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
     },
-    /// A request was sent to a group.
+    /// An attempt of a request was sent to a group.
     Sent {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
-        /// The group.
+        /// Name of the group.
         group: GroupId,
-        /// The group's epoch.
+        /// Epoch of the group.
         epoch: u64,
-        /// Counts the attempts from 1.
+        /// Number of the attempt, from 1.
         attempt: u32,
     },
-    /// The first token reached the router.
+    /// The first token of an answer reached the router.
     FirstToken {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
     },
-    /// An attempt failed.
+    /// An attempt of a request failed.
     AttemptFailed {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
-        /// The group.
+        /// Name of the group.
         group: GroupId,
     },
-    /// A request ended whole.
+    /// A request was answered completely.
     Completed {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
-        /// Tokens delivered.
+        /// Number of delivered tokens.
         tokens: u32,
     },
     /// A request ended with an error.
     Failed {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
-        /// The kind.
+        /// Kind of the error.
         kind: ErrorKind,
     },
-    /// The caller went away.
+    /// The caller disconnected before the end of the answer.
     CallerGone {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
     },
-    /// A hall's lease was gained.
+    /// The daemon acquired the lease of a hall.
     LeaseGained {
-        /// The hall.
+        /// Name of the hall.
         hall: HallId,
-        /// The term.
+        /// Term of the lease.
         term: u64,
     },
-    /// A hall's lease was lost or given up.
+    /// The daemon lost or released the lease of a hall.
     LeaseEnded {
-        /// The hall.
+        /// Name of the hall.
         hall: HallId,
-        /// The term.
+        /// Term of the lease.
         term: u64,
     },
     /// A group was written to the plan.
     GroupPlanned {
-        /// The group.
+        /// Name of the group.
         group: GroupId,
-        /// Its epoch.
+        /// Epoch of the group.
         epoch: u64,
-        /// Its members.
+        /// Members in order of their ranks.
         members: Vec<InstanceId>,
     },
-    /// A group was taken out of the plan.
+    /// A group was removed from the plan.
     GroupEnded {
-        /// The group.
+        /// Name of the group.
         group: GroupId,
-        /// Its epoch.
+        /// Epoch of the group.
         epoch: u64,
-        /// Why.
+        /// Reason for the removal.
         why: EndReason,
     },
-    /// A group has all its members ready, seen from here.
+    /// The daemon observed that all members of a group are ready.
     GroupComplete {
-        /// The group.
+        /// Name of the group.
         group: GroupId,
-        /// Its epoch.
+        /// Epoch of the group.
         epoch: u64,
     },
-    /// A group no longer has all its members, seen from here.
+    /// The daemon observed that a group no longer has all its members.
     GroupBroken {
-        /// The group.
+        /// Name of the group.
         group: GroupId,
-        /// Its epoch.
+        /// Epoch of the group.
         epoch: u64,
     },
-    /// An order was given.
+    /// An order was given to a target.
     Ordered {
-        /// The target.
+        /// Instance that runs the target.
         instance: InstanceId,
-        /// The term.
+        /// Term of the lease.
         term: u64,
-        /// The order's epoch.
+        /// Epoch of the order.
         epoch: u64,
     },
 }
 
-/// Why a group was taken out of the plan.
+/// The reason for which a group was removed from the plan.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EndReason {
     /// A member was lost.
     MemberLost,
-    /// A member came back as another incarnation or without the group.
+    /// A member returned with another incarnation or without the group.
     MemberChanged,
     /// A member is leaving.
     MemberLeaving,
-    /// The settings ask for something else.
+    /// The settings require something else.
     SettingsChanged,
-    /// Its members serve better elsewhere.
+    /// The members are more useful in other groups.
     Rebalanced,
 }
 
 impl Happening {
-    /// The request that the event is about, if any.
+    /// Returns the request that the event is about, if any.
     pub const fn request(&self) -> Option<RequestId> {
         match self {
             Self::Arrived { request, .. }
@@ -162,7 +162,7 @@
         }
     }
 
-    /// The group that the event is about, if any.
+    /// Returns the group that the event is about, if any.
     pub const fn group(&self) -> Option<&GroupId> {
         match self {
             Self::Sent { group, .. }
@@ -176,19 +176,19 @@
     }
 }
 
-/// An event with its time and place.
+/// An event with its time and the daemon that recorded it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// When, by the hybrid logical clock.
+    /// Time of the event by the hybrid logical clock.
     pub stamp: Stamp,
-    /// At which daemon.
+    /// Daemon that recorded the event.
     pub node: NodeId,
-    /// What.
+    /// Event itself.
     #[serde(flatten)]
     pub what: Happening,
 }
 
-/// The last events of a process.
+/// A ring buffer of the latest events of a process.
 #[derive(Debug, Clone)]
 pub struct Ring {
     records: VecDeque<Record>,
@@ -196,7 +196,7 @@
 }
 
 impl Ring {
-    /// A ring that keeps `capacity` events.
+    /// Creates a ring buffer for `capacity` events, but at least one.
     pub fn new(capacity: usize) -> Self {
         Self {
             records: VecDeque::with_capacity(capacity.min(1024)),
@@ -204,7 +204,7 @@
         }
     }
 
-    /// Adds an event and drops the oldest one if the ring is full.
+    /// Adds an event, dropping the oldest one if the buffer is full.
     pub fn push(&mut self, record: Record) {
         if self.records.len() == self.capacity {
             self.records.pop_front();
@@ -212,7 +212,7 @@
         self.records.push_back(record);
     }
 
-    /// The events from the oldest on.
+    /// Returns the events in order, from the oldest.
     pub fn iter(&self) -> impl Iterator<Item = &Record> {
         self.records.iter()
     }
--- a/crates/thistlesill-core/tests/charts.rs
+++ b/crates/thistlesill-core/tests/charts.rs
@@ -1,29 +1,29 @@
-//! State charts are refused when they are not sound.
+//! Parsing of state charts, and the rejection of invalid ones.
 
 use thistlesill_core::chart::{Chart, ChartError};
 use thistlesill_core::symbols;
 
 symbols! {
-    /// Two states.
+    /// The states of a door.
     Door {
-        /// Open.
+        /// The door is open.
         Open = "open",
-        /// Shut.
+        /// The door is shut.
         Shut = "shut",
     }
 }
 
 symbols! {
-    /// Two events.
+    /// The events of a door.
     Push {
-        /// Push.
+        /// Someone pushes the door.
         Push = "push",
-        /// Pull.
+        /// Someone pulls the door.
         Pull = "pull",
     }
 }
 
-const GOOD: &str = r#"{"start": "shut", "states": {
+const VALID: &str = r#"{"start": "shut", "states": {
     "open": {"push": "shut", "pull": "refuse"},
     "shut": {"push": "refuse", "pull": "open"}, // comment
 }}"#;
@@ -34,7 +34,7 @@
 
 #[test]
 fn steps_follow_the_file() {
-    let chart = parse(GOOD).expect("a sound chart");
+    let chart = parse(VALID).expect("a valid chart");
     assert_eq!(chart.start(), Door::Shut);
     assert_eq!(chart.step(Door::Shut, Push::Pull), Ok(Door::Open));
     let refused = chart.step(Door::Shut, Push::Push).expect_err("refused");
@@ -43,7 +43,7 @@
 
 #[test]
 fn unknown_name() {
-    let error = parse(&GOOD.replace("\"push\": \"shut\"", "\"push\": \"shot\""));
+    let error = parse(&VALID.replace("\"push\": \"shut\"", "\"push\": \"shot\""));
     let expected = ChartError::Unknown {
         chart: "door",
         word: "shot".to_owned(),
@@ -53,7 +53,7 @@
 
 #[test]
 fn missing_pair() {
-    let error = parse(&GOOD.replace(", \"pull\": \"refuse\"", ""));
+    let error = parse(&VALID.replace(", \"pull\": \"refuse\"", ""));
     let expected = ChartError::Missing {
         chart: "door",
         state: "open",
@@ -64,7 +64,7 @@
 
 #[test]
 fn unreachable_state() {
-    let error = parse(&GOOD.replace("\"pull\": \"open\"", "\"pull\": \"stay\""));
+    let error = parse(&VALID.replace("\"pull\": \"open\"", "\"pull\": \"stay\""));
     let expected = ChartError::Unreachable {
         chart: "door",
         state: "open",
--- a/crates/thistlesill-core/tests/clock.rs
+++ b/crates/thistlesill-core/tests/clock.rs
@@ -1,4 +1,4 @@
-//! The hybrid logical clock orders events across processes.
+//! The hybrid logical clock, which orders events across processes.
 
 use thistlesill_core::Stamp;
 use thistlesill_core::time::HybridClock;
--- a/crates/thistlesill-core/tests/decoders.rs
+++ b/crates/thistlesill-core/tests/decoders.rs
@@ -1,4 +1,4 @@
-//! Decoders of what strangers may send: never a panic, always a verdict.
+//! Decoders of untrusted input, which must never panic and always return a value or an error.
 
 use thistlesill_core::event_id::EventId;
 use thistlesill_core::message::{Datagram, PeerBody, StreamAsk, StreamReply};
@@ -55,7 +55,7 @@
     }
 
     fn proved_garbage_is_refused_or_read(body: Vec<u8>) -> bool {
-        // Whoever has the key may still be broken.
+        // A sender that has the key may still send a malformed body.
         let mut bytes = key().tag(&body).to_vec();
         bytes.extend_from_slice(&body);
         assert_eq!(bytes.len(), body.len() + TAG_LEN);
--- a/crates/thistlesill-core/tests/errors.rs
+++ b/crates/thistlesill-core/tests/errors.rs
@@ -1,11 +1,11 @@
-//! The table from error kind to answer, and the page that shows it.
+//! The table from error kind to answer, and the documentation page that contains it.
 
 use std::collections::BTreeSet;
 
 use thistlesill_core::ErrorKind;
 use thistlesill_core::error::{ErrorBody, Ran, Retry};
 
-/// The table as `docs/ERRORS.md` must hold it.
+/// Returns the table as `docs/ERRORS.md` must contain it.
 fn table() -> String {
     let mut out = String::from(
         "| kind | status | did it run | come back | sentence |\n| --- | --- | --- | --- | --- |\n",
--- a/crates/thistlesill-core/tests/settings.rs
+++ b/crates/thistlesill-core/tests/settings.rs
@@ -1,11 +1,11 @@
-//! The tree of settings: inheritance, checks and their places.
+//! The settings tree: inheritance, validation and the positions of errors.
 
 use std::collections::BTreeMap;
 
 use thistlesill_core::settings::{Branch, Context, Cover, Tree, check, parse_file};
 use thistlesill_fakes::seeded;
 
-const GOOD: &str = r#"{
+const VALID: &str = r#"{
   // The whole fleet.
   "branches": {
     "/": {
@@ -21,40 +21,40 @@
 }"#;
 
 fn errors(text: &str) -> Vec<String> {
-    let errors = parse_file("t.jsonc", text).expect_err("a refused file");
+    let errors = parse_file("t.jsonc", text).expect_err("an invalid file");
     errors.iter().map(ToString::to_string).collect()
 }
 
 fn tree() -> Tree {
     Tree::new(
         1,
-        parse_file("t.jsonc", GOOD).expect("a sound file").branches,
+        parse_file("t.jsonc", VALID).expect("a valid file").branches,
     )
 }
 
 #[test]
 fn later_covers_win() {
-    let there = Context::default().with_hall("concord".into());
-    let old = Context {
+    let in_hall = Context::default().with_hall("concord".into());
+    let old_generation = Context {
         generation: Some("old".into()),
-        ..there.clone()
+        ..in_hall.clone()
     };
     assert_eq!(tree().resolve(&Context::default()).slots, Some(8));
-    assert_eq!(tree().resolve(&there).slots, Some(4));
-    assert_eq!(tree().resolve(&old).slots, Some(2));
-    let elsewhere = Context {
+    assert_eq!(tree().resolve(&in_hall).slots, Some(4));
+    assert_eq!(tree().resolve(&old_generation).slots, Some(2));
+    let other_hall = Context {
         hall: Some("keene".into()),
-        ..old
+        ..old_generation
     };
-    assert_eq!(tree().resolve(&elsewhere).slots, Some(8));
+    assert_eq!(tree().resolve(&other_hall).slots, Some(8));
 }
 
 #[test]
 fn origins_name_the_branch() {
-    let there = Context::default()
+    let in_hall = Context::default()
         .with_hall("concord".into())
         .with_customer("lowell".into());
-    let resolved = tree().explain(&there);
+    let resolved = tree().explain(&in_hall);
     let origin = |name: &str| {
         let found = resolved.origins.iter().find(|o| o.name == name);
         found.map(|o| o.path.clone())
@@ -66,7 +66,7 @@
 
 #[test]
 fn unknown_value_is_refused_with_the_nearest() {
-    let text = GOOD.replace("\"adapter\"", "\"adpater\"");
+    let text = VALID.replace("\"adapter\"", "\"adpater\"");
     let found = errors(&text);
     assert_eq!(found.len(), 1);
     assert!(found[0].starts_with("t.jsonc:12:"), "{found:?}");
@@ -81,20 +81,20 @@
 
 #[test]
 fn wrong_type_has_its_place() {
-    let found = errors(&GOOD.replace("\"slots\": 4", "\"slots\": \"four\""));
+    let found = errors(&VALID.replace("\"slots\": 4", "\"slots\": \"four\""));
     assert!(found[0].starts_with("t.jsonc:10:"), "{found:?}");
 }
 
 #[test]
 fn missing_parent_names_the_nearest() {
-    let found = errors(&GOOD.replace("\"/concord/old\"", "\"/concrod/old\""));
+    let found = errors(&VALID.replace("\"/concord/old\"", "\"/concrod/old\""));
     assert!(found[0].contains("did you mean `/concord`?"), "{found:?}");
     assert!(found[0].starts_with("t.jsonc:11:"), "{found:?}");
 }
 
 #[test]
 fn faults_are_found_all_at_once() {
-    let text = GOOD
+    let text = VALID
         .replace("0.5", "1.5")
         .replace("\"slots\": 2", "\"slots\": 0");
     assert_eq!(errors(&text).len(), 2);
@@ -102,13 +102,13 @@
 
 #[test]
 fn token_itself_is_refused() {
-    let found = errors(&GOOD.replace("\"adapter\": \"x\"", "\"token_sha256\": \"secret\""));
+    let found = errors(&VALID.replace("\"adapter\": \"x\"", "\"token_sha256\": \"secret\""));
     assert!(found[0].contains("never the token"), "{found:?}");
 }
 
 #[test]
 fn siblings_must_differ() {
-    let mut branches = parse_file("t", GOOD).expect("a sound file").branches;
+    let mut branches = parse_file("t", VALID).expect("a valid file").branches;
     branches.insert("/other".to_owned(), branches["/concord"].clone());
     assert_eq!(check(&branches).len(), 1);
 }
@@ -132,7 +132,7 @@
             env!("CARGO_MANIFEST_DIR")
         );
         let text = std::fs::read_to_string(&path).expect("a deployed tree");
-        let file = parse_file(&path, &text).expect("a sound tree");
+        let file = parse_file(&path, &text).expect("a valid tree");
         let tree = Tree::new(1, file.branches);
         assert_eq!(tree.customers().len(), 10, "{fleet}");
     }
@@ -144,7 +144,7 @@
     }
 
     fn damaged_text_is_refused_or_still_sound(at: usize, byte: u8) -> bool {
-        let mut bytes = GOOD.as_bytes().to_vec();
+        let mut bytes = VALID.as_bytes().to_vec();
         let at = at % bytes.len();
         bytes[at] = byte;
         let text = String::from_utf8_lossy(&bytes);
