--- a/crates/thistlesill-core/src/edge.rs
+++ b/crates/thistlesill-core/src/edge.rs
@@ -17,6 +17,6 @@
 };
 pub use evacuation::Evacuations;
 pub use incarnation::{Incarnation, TargetId};
-pub use limit::{NoLimit, RateLimit};
+pub use limit::{InvalidRateLimit, RateLimit};
 pub use order::{GroupRef, Order, OrderReply};
 pub use target::{MemberState, Membership, Target};
--- a/crates/thistlesill-core/src/edge/limit.rs
+++ b/crates/thistlesill-core/src/edge/limit.rs
@@ -27,19 +27,19 @@
 
 /// The error for a number that is negative, infinite or NaN.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct NoLimit;
+pub struct InvalidRateLimit;
 
-impl fmt::Display for NoLimit {
+impl fmt::Display for InvalidRateLimit {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("a rate limit must be finite and not negative")
     }
 }
 
 impl TryFrom<f64> for RateLimit {
-    type Error = NoLimit;
+    type Error = InvalidRateLimit;
 
-    fn try_from(per_second: f64) -> Result<Self, NoLimit> {
-        Self::new(per_second).ok_or(NoLimit)
+    fn try_from(per_second: f64) -> Result<Self, InvalidRateLimit> {
+        Self::new(per_second).ok_or(InvalidRateLimit)
     }
 }
 
--- a/crates/thistlesill-core/src/jsonc.rs
+++ b/crates/thistlesill-core/src/jsonc.rs
@@ -16,14 +16,14 @@
 
 /// A position in a text.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Place {
+pub struct Position {
     /// Line number, from 1.
     pub line: usize,
     /// Column number in bytes, from 1.
     pub column: usize,
 }
 
-impl Place {
+impl Position {
     /// Returns the position of a byte offset in `text`.
     pub fn of(text: &str, offset: usize) -> Self {
         let before = &text.as_bytes()[..offset.min(text.len())];
@@ -39,7 +39,7 @@
     }
 }
 
-impl fmt::Display for Place {
+impl fmt::Display for Position {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}:{}", self.line, self.column)
     }
@@ -47,10 +47,10 @@
 
 /// The error for text that is not the expected JSON with comments.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
-#[snafu(display("{place}: {text}"))]
+#[snafu(display("{position}: {text}"))]
 pub struct JsoncError {
     /// Position of the error.
-    pub place: Place,
+    pub position: Position,
     /// What is wrong, and what is expected instead.
     pub text: String,
 }
@@ -64,7 +64,7 @@
 pub fn from_str<T: DeserializeOwned>(text: &str) -> Result<T, JsoncError> {
     let plain = blank_comments(text)?;
     serde_json::from_str(&plain).map_err(|e| JsoncError {
-        place: Place {
+        position: Position {
             line: e.line(),
             column: e.column(),
         },
@@ -74,10 +74,10 @@
 
 /// Returns the position of the property at a path of object keys, or of the deepest part of the
 /// path that exists; the start of the text if the text cannot be parsed.
-pub fn locate(text: &str, path: &[&str]) -> Place {
+pub fn locate(text: &str, path: &[&str]) -> Position {
     let Ok(parsed) = parse_to_ast(text, &CollectOptions::default(), &ParseOptions::default())
     else {
-        return Place { line: 1, column: 1 };
+        return Position { line: 1, column: 1 };
     };
     let mut offset = 0;
     let mut value = parsed.value.as_ref();
@@ -91,7 +91,7 @@
         offset = prop.range.start;
         value = Some(&prop.value);
     }
-    Place::of(text, offset)
+    Position::of(text, offset)
 }
 
 /// Replaces comments and trailing commas by spaces, keeping all positions.
@@ -102,7 +102,7 @@
     };
     let parsed =
         parse_to_ast(text, &collect, &ParseOptions::default()).map_err(|e| JsoncError {
-            place: Place::of(text, e.range().start),
+            position: Position::of(text, e.range().start),
             text: e.kind().to_string(),
         })?;
     let mut bytes = text.as_bytes().to_vec();
--- a/crates/thistlesill-core/src/seal.rs
+++ b/crates/thistlesill-core/src/seal.rs
@@ -57,7 +57,7 @@
     }
 
     /// Returns whether `tag` is the authentication tag of `message`, compared in constant time.
-    pub fn proves(&self, message: &[u8], tag: &[u8]) -> bool {
+    pub fn verify(&self, message: &[u8], tag: &[u8]) -> bool {
         tag.len() == TAG_LEN && self.mac(message).verify_truncated_left(tag).is_ok()
     }
 
@@ -80,7 +80,7 @@
     /// Returns a [`SealError`] if the length, the authentication tag or the content is invalid.
     pub fn open<T: DeserializeOwned>(&self, bytes: &[u8]) -> Result<T, SealError> {
         let (tag, body) = bytes.split_at_checked(TAG_LEN).ok_or(SealError::Length)?;
-        if !self.proves(body, tag) {
+        if !self.verify(body, tag) {
             return Err(SealError::Proof);
         }
         postcard::from_bytes(body).map_err(|_| SealError::Content)
--- a/crates/thistlesill-core/src/settings/file.rs
+++ b/crates/thistlesill-core/src/settings/file.rs
@@ -6,7 +6,7 @@
 use snafu::Snafu;
 
 use super::{Branch, Fault, check};
-use crate::jsonc::{self, Place};
+use crate::jsonc::{self, Position};
 
 /// Largest settings file that is parsed.
 const MAX_FILE_BYTES: usize = 16 << 20;
@@ -25,12 +25,12 @@
 
 /// The error for one fault in a settings file.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
-#[snafu(display("{file}:{place}: {text}"))]
+#[snafu(display("{file}:{position}: {text}"))]
 pub struct FileError {
     /// Name of the file.
     pub file: String,
     /// Position of the fault in the file.
-    pub place: Place,
+    pub position: Position,
     /// What is wrong, and what is required instead.
     pub text: String,
 }
@@ -42,9 +42,9 @@
 /// Returns a single error for a syntax error, or else one error with a position for every fault
 /// that [`check`] finds.
 pub fn parse_file(file: &str, text: &str) -> Result<TreeFile, Vec<FileError>> {
-    let error = |place, text| FileError {
+    let error = |position, text| FileError {
         file: file.to_owned(),
-        place,
+        position,
         text,
     };
     if text.len() > MAX_FILE_BYTES {
@@ -52,17 +52,17 @@
             "the file has {} bytes; the limit is {MAX_FILE_BYTES}",
             text.len()
         );
-        return Err(vec![error(Place { line: 1, column: 1 }, text)]);
+        return Err(vec![error(Position { line: 1, column: 1 }, text)]);
     }
-    let tree: TreeFile = jsonc::from_str(text).map_err(|e| vec![error(e.place, e.text)])?;
+    let tree: TreeFile = jsonc::from_str(text).map_err(|e| vec![error(e.position, e.text)])?;
     let faults = check(&tree.branches);
     if faults.is_empty() {
         return Ok(tree);
     }
-    let place = |fault: &Fault| {
+    let position = |fault: &Fault| {
         let field = fault.field.as_deref().unwrap_or_default();
         jsonc::locate(text, &["branches", &fault.path, field])
     };
-    let errors = faults.iter().map(|f| error(place(f), f.to_string()));
+    let errors = faults.iter().map(|f| error(position(f), f.to_string()));
     Err(errors.collect())
 }
