--- a/crates/thistlesill-cli/src/commands/timeline.rs
+++ b/crates/thistlesill-cli/src/commands/timeline.rs
@@ -1,6 +1,6 @@
 //! `thistlesill timeline` and `explain request`.
 
-use thistlesill_core::timeline::{Happening, Record};
+use thistlesill_core::timeline::{Record, TimelineEvent};
 use thistlesill_core::{GroupId, InstanceId, RequestId};
 
 use super::to_json;
@@ -77,7 +77,7 @@
     let members: Vec<InstanceId> = records
         .iter()
         .filter_map(|r| match &r.what {
-            Happening::GroupPlanned { group, members, .. } if groups.contains(group) => {
+            TimelineEvent::GroupPlanned { group, members, .. } if groups.contains(group) => {
                 Some(members.clone())
             }
             _ => None,
@@ -85,7 +85,7 @@
         .flatten()
         .collect();
     let related = |r: &Record| match &r.what {
-        Happening::Ordered { instance, .. } => members.contains(instance),
+        TimelineEvent::Ordered { instance, .. } => members.contains(instance),
         other if other.request().is_some() => other.request() == Some(request),
         other => other.group().is_some_and(|g| groups.contains(g)),
     };
@@ -116,15 +116,15 @@
 fn verdict(records: &[Record]) -> String {
     let sends = records
         .iter()
-        .filter(|r| matches!(r.what, Happening::Sent { .. }))
+        .filter(|r| matches!(r.what, TimelineEvent::Sent { .. }))
         .count();
     let end = records.iter().rev().find_map(|r| match &r.what {
-        Happening::Completed { .. } => Some("it was answered whole".to_owned()),
-        Happening::Failed { kind, .. } => {
+        TimelineEvent::Completed { .. } => Some("it was answered whole".to_owned()),
+        TimelineEvent::Failed { kind, .. } => {
             let answer = kind.answer();
             Some(format!("{} (ran: {:?})", answer.text, answer.ran).to_lowercase())
         }
-        Happening::CallerGone { .. } => Some("its caller went away".to_owned()),
+        TimelineEvent::CallerGone { .. } => Some("its caller went away".to_owned()),
         _ => None,
     });
     let end = end.unwrap_or_else(|| "it has no final answer yet".to_owned());
--- a/crates/thistlesill-cli/src/explain.rs
+++ b/crates/thistlesill-cli/src/explain.rs
@@ -1,49 +1,53 @@
 //! Sentences that say why things are as they are.
 
-use thistlesill_core::timeline::{Happening, Record};
+use thistlesill_core::timeline::{Record, TimelineEvent};
 
 /// One event as a sentence.
-pub fn sentence(what: &Happening) -> String {
+pub fn sentence(what: &TimelineEvent) -> String {
     match what {
-        Happening::Started => "started".to_owned(),
-        Happening::Stopping => "is told to stop".to_owned(),
-        Happening::SettingsInForce { revision } => format!("has settings {revision} in force"),
-        Happening::Arrived { request, customer } => {
+        TimelineEvent::Started => "started".to_owned(),
+        TimelineEvent::Stopping => "is told to stop".to_owned(),
+        TimelineEvent::SettingsInForce { revision } => format!("has settings {revision} in force"),
+        TimelineEvent::Arrived { request, customer } => {
             format!("request {request} of {customer} arrives")
         }
-        Happening::Claimed { request } => format!("request {request} holds its key"),
-        Happening::Sent {
+        TimelineEvent::Claimed { request } => format!("request {request} holds its key"),
+        TimelineEvent::Sent {
             request,
             group,
             epoch,
             attempt,
         } => format!("request {request} goes to {group}, epoch {epoch}, attempt {attempt}"),
-        Happening::FirstToken { request } => format!("request {request} has its first token"),
-        Happening::AttemptFailed { request, group } => {
+        TimelineEvent::FirstToken { request } => format!("request {request} has its first token"),
+        TimelineEvent::AttemptFailed { request, group } => {
             format!("request {request} fails at {group}")
         }
-        Happening::Completed { request, tokens } => {
+        TimelineEvent::Completed { request, tokens } => {
             format!("request {request} is whole, {tokens} tokens")
         }
-        Happening::Failed { request, kind } => format!("request {request} ends with {kind}"),
-        Happening::CallerGone { request } => format!("the caller of {request} is gone"),
-        Happening::LeaseGained { hall, term } => format!("gains the lease of {hall}, term {term}"),
-        Happening::LeaseEnded { hall, term } => {
+        TimelineEvent::Failed { request, kind } => format!("request {request} ends with {kind}"),
+        TimelineEvent::CallerGone { request } => format!("the caller of {request} is gone"),
+        TimelineEvent::LeaseGained { hall, term } => {
+            format!("gains the lease of {hall}, term {term}")
+        }
+        TimelineEvent::LeaseEnded { hall, term } => {
             format!("no longer holds the lease of {hall}, term {term}")
         }
-        Happening::GroupPlanned {
+        TimelineEvent::GroupPlanned {
             group,
             epoch,
             members,
         } => format!("plans {group}, epoch {epoch}, of {}", members.len()),
-        Happening::GroupEnded { group, epoch, why } => {
+        TimelineEvent::GroupEnded { group, epoch, why } => {
             format!("ends {group}, epoch {epoch}: {why:?}")
         }
-        Happening::GroupComplete { group, epoch } => format!("sees {group} whole, epoch {epoch}"),
-        Happening::GroupBroken { group, epoch } => {
+        TimelineEvent::GroupComplete { group, epoch } => {
+            format!("sees {group} whole, epoch {epoch}")
+        }
+        TimelineEvent::GroupBroken { group, epoch } => {
             format!("sees {group} whole no more, epoch {epoch}")
         }
-        Happening::Ordered {
+        TimelineEvent::Ordered {
             instance,
             term,
             epoch,
--- a/crates/thistlesill-cli/src/picture.rs
+++ b/crates/thistlesill-cli/src/picture.rs
@@ -5,7 +5,7 @@
 use std::fmt::Write;
 
 use thistlesill_core::NodeId;
-use thistlesill_core::timeline::{Happening, Record};
+use thistlesill_core::timeline::{Record, TimelineEvent};
 
 use crate::explain::sentence;
 
@@ -167,18 +167,18 @@
     LEFT + (WIDTH - LEFT - RIGHT) * at as f64 / span as f64
 }
 
-const fn colour(what: &Happening) -> &'static str {
+const fn colour(what: &TimelineEvent) -> &'static str {
     match what {
-        Happening::Failed { .. }
-        | Happening::AttemptFailed { .. }
-        | Happening::GroupBroken { .. }
-        | Happening::GroupEnded { .. }
-        | Happening::LeaseEnded { .. }
-        | Happening::CallerGone { .. } => "#b3312c",
-        Happening::Completed { .. }
-        | Happening::GroupComplete { .. }
-        | Happening::LeaseGained { .. } => "#2e7d32",
-        Happening::SettingsInForce { .. } => "#7b4fa3",
+        TimelineEvent::Failed { .. }
+        | TimelineEvent::AttemptFailed { .. }
+        | TimelineEvent::GroupBroken { .. }
+        | TimelineEvent::GroupEnded { .. }
+        | TimelineEvent::LeaseEnded { .. }
+        | TimelineEvent::CallerGone { .. } => "#b3312c",
+        TimelineEvent::Completed { .. }
+        | TimelineEvent::GroupComplete { .. }
+        | TimelineEvent::LeaseGained { .. } => "#2e7d32",
+        TimelineEvent::SettingsInForce { .. } => "#7b4fa3",
         _ => "#2457a6",
     }
 }
--- a/crates/thistlesill-core/src/edge.rs
+++ b/crates/thistlesill-core/src/edge.rs
@@ -13,7 +13,7 @@
 
 pub use bounds::{Bounds, EdgeSettings};
 pub use catalog::{
-    Catalog, Engine, KeyHolder, Limits, ModelPlan, Route, RouteKind, Service, TargetShare, Warmup,
+    Catalog, Engine, KeyHolder, Limits, ModelPlan, Route, RouteKind, Service, ServiceShare, Warmup,
 };
 pub use evacuation::Evacuations;
 pub use incarnation::{Incarnation, TargetId};
--- a/crates/thistlesill-core/src/edge/catalog.rs
+++ b/crates/thistlesill-core/src/edge/catalog.rs
@@ -20,7 +20,7 @@
 
 /// The share of a route's requests that goes to one service.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct TargetShare {
+pub struct ServiceShare {
     /// Service that receives the share.
     pub service: ServiceName,
     /// Weight relative to the other shares of the route.
@@ -35,7 +35,7 @@
     /// Path prefix of the requests that match.
     pub prefix: Arc<str>,
     /// Services that the requests are distributed over.
-    pub shares: Vec<TargetShare>,
+    pub shares: Vec<ServiceShare>,
     /// Whether requests may be executed more than once.
     pub kind: RouteKind,
     /// Largest number of attempts for one request, the first included.
@@ -94,11 +94,11 @@
     /// Largest number of weight loads that may start per second, over all targets.
     pub loads_rate: f64,
     /// Number of concurrent weight loads above which loads slow each other down.
-    pub loads_once: usize,
+    pub concurrent_loads: usize,
     /// Models that the service runs, with the sizes of their groups.
     pub models: Vec<ModelPlan>,
     /// Mean number of tokens in a response.
-    pub usual_answer: f64,
+    pub mean_answer: f64,
 }
 
 impl Engine {
--- a/crates/thistlesill-core/src/edge/incarnation.rs
+++ b/crates/thistlesill-core/src/edge/incarnation.rs
@@ -72,7 +72,7 @@
 
     /// Returns whether both ids name the same instance but different incarnations.
     #[must_use]
-    pub fn is_other_life_of(&self, other: &Self) -> bool {
+    pub fn is_other_incarnation_of(&self, other: &Self) -> bool {
         self.instance == other.instance && self.incarnation != other.incarnation
     }
 }
--- a/crates/thistlesill-core/src/edge/target.rs
+++ b/crates/thistlesill-core/src/edge/target.rs
@@ -62,7 +62,7 @@
 
 impl Target {
     /// Returns whether the target leads a group that accepts requests.
-    pub fn leads_open(&self) -> bool {
+    pub fn is_open_leader(&self) -> bool {
         let open = |m: &Membership| m.rank == 0 && m.state == MemberState::Open;
         self.member.as_ref().is_some_and(open)
     }
--- a/crates/thistlesill-core/src/message.rs
+++ b/crates/thistlesill-core/src/message.rs
@@ -38,12 +38,12 @@
     /// Whether the target is leaving, according to the platform's list or its own report.
     pub leaving: bool,
     /// Observed state.
-    pub state: Seen,
+    pub state: ObservedState,
 }
 
 /// The observed state of a target.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Seen {
+pub enum ObservedState {
     /// The target did not answer.
     Lost,
     /// The target belongs to no group.
@@ -58,7 +58,7 @@
     Service(ServiceName),
 }
 
-impl From<Duty> for Seen {
+impl From<Duty> for ObservedState {
     fn from(duty: Duty) -> Self {
         match duty {
             Duty::Idle => Self::Idle,
@@ -70,7 +70,7 @@
     }
 }
 
-impl Seen {
+impl ObservedState {
     /// Returns the membership in a group, if the target has one.
     pub const fn membership(&self) -> Option<&Membership> {
         match self {
@@ -96,7 +96,7 @@
 /// A heartbeat asserts that every sighting that the watcher has sent and not replaced was
 /// confirmed by a report no older than `oldest`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Beat {
+pub struct Heartbeat {
     /// Sequence number, which rises by one with every heartbeat of a run.
     pub seq: u64,
     /// Identifies the watcher's run; changes with every start of the watcher.
@@ -132,12 +132,12 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
     /// Usage of each customer with active requests.
-    pub customers: Vec<CustomerUse>,
+    pub customers: Vec<CustomerUsage>,
 }
 
 /// The usage of one customer at one router.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CustomerUse {
+pub struct CustomerUsage {
     /// Name of the customer.
     pub customer: CustomerId,
     /// Number of requests that were sent to targets and have not ended.
@@ -165,7 +165,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerBody {
     /// The heartbeat of a watcher.
-    Beat(Beat),
+    Beat(Heartbeat),
     /// A request for the watcher's complete list of sightings.
     Want,
     /// One part of a watcher's complete list of sightings.
@@ -194,7 +194,7 @@
 
 /// A request on a stream between daemons.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum StreamAsk {
+pub enum StreamRequest {
     /// Requests the settings, if they are newer than `have`.
     Settings {
         /// Revision that the requesting daemon has.
--- a/crates/thistlesill-core/src/report.rs
+++ b/crates/thistlesill-core/src/report.rs
@@ -14,7 +14,7 @@
 
 /// An entry of the platform's list of live and leaving instances.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Listed {
+pub struct ListedInstance {
     /// Name of the instance.
     pub instance: InstanceId,
     /// Region of the instance.
--- a/crates/thistlesill-core/src/settings/tree.rs
+++ b/crates/thistlesill-core/src/settings/tree.rs
@@ -256,7 +256,7 @@
 
     /// Returns whether `revision` is newer than this tree's: only then may a tree of that
     /// revision replace this one.
-    pub const fn yields_to(&self, revision: u64) -> bool {
+    pub const fn is_older_than(&self, revision: u64) -> bool {
         revision > self.revision
     }
 
--- a/crates/thistlesill-core/src/timeline.rs
+++ b/crates/thistlesill-core/src/timeline.rs
@@ -9,7 +9,7 @@
 /// An event of the time line.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
-pub enum Happening {
+pub enum TimelineEvent {
     /// The daemon started.
     Started,
     /// The daemon received the instruction to stop.
@@ -146,7 +146,7 @@
     Rebalanced,
 }
 
-impl Happening {
+impl TimelineEvent {
     /// Returns the request that the event is about, if any.
     pub const fn request(&self) -> Option<RequestId> {
         match self {
@@ -185,7 +185,7 @@
     pub node: NodeId,
     /// Event itself.
     #[serde(flatten)]
-    pub what: Happening,
+    pub what: TimelineEvent,
 }
 
 /// A ring buffer of the latest events of a process.
--- a/crates/thistlesill-core/tests/decoders.rs
+++ b/crates/thistlesill-core/tests/decoders.rs
@@ -1,7 +1,7 @@
 //! Decoders of untrusted input, which must never panic and always return a value or an error.
 
 use thistlesill_core::event_id::EventId;
-use thistlesill_core::message::{Datagram, PeerBody, StreamAsk, StreamReply};
+use thistlesill_core::message::{Datagram, PeerBody, StreamReply, StreamRequest};
 use thistlesill_core::report::{Order, Report};
 use thistlesill_core::seal::{SealError, SharedKey, TAG_LEN};
 use thistlesill_core::table::{Rows, TxnReply};
@@ -60,7 +60,7 @@
         bytes.extend_from_slice(&body);
         assert_eq!(bytes.len(), body.len() + TAG_LEN);
         let datagram = key().open::<Datagram>(&bytes);
-        let ask = key().open::<StreamAsk>(&bytes);
+        let ask = key().open::<StreamRequest>(&bytes);
         let reply = key().open::<StreamReply>(&bytes);
         datagram != Err(SealError::Proof)
             && ask != Err(SealError::Proof)
--- a/crates/thistlesill-edge/src/watch/targets.rs
+++ b/crates/thistlesill-edge/src/watch/targets.rs
@@ -228,7 +228,7 @@
 fn note_target(edge: &Edge, target: &Target) {
     let book = edge.book.borrow();
     if let Some(life) = book.life(target.id.instance())
-        && life.is_other_life_of(&target.id)
+        && life.is_other_incarnation_of(&target.id)
     {
         edge.lines
             .line("target_restarted")
@@ -238,11 +238,15 @@
             .write();
     }
     let old = book.of(&target.service).and_then(|t| t.get(&target.id));
-    let leads = target.leads_open();
-    if old.is_some_and(|old| old.leads_open() == leads && old.leaving == target.leaving) {
+    let leads = target.is_open_leader();
+    if old.is_some_and(|old| old.is_open_leader() == leads && old.leaving == target.leaving) {
         return;
     }
-    if target.domain.is_some() && !leads && !target.leaving && old.is_none_or(|o| !o.leads_open()) {
+    if target.domain.is_some()
+        && !leads
+        && !target.leaving
+        && old.is_none_or(|o| !o.is_open_leader())
+    {
         return;
     }
     let group = target.member.as_ref().map(|m| m.of.group.clone());
--- a/crates/thistlesill-fakes/src/engines.rs
+++ b/crates/thistlesill-fakes/src/engines.rs
@@ -56,9 +56,9 @@
         read_rate: 46_000.0,
         stride: 5,
         loads_rate: 4.0,
-        loads_once: 6,
+        concurrent_loads: 6,
         models: vec![plan("large", 4, 0.67, 1.0), plan("small", 2, 0.33, 0.6)],
-        usual_answer: 116.0,
+        mean_answer: 116.0,
     }
 }
 
@@ -161,7 +161,7 @@
         let leads = self
             .all
             .get(id.instance())
-            .is_some_and(|e| e.alive && e.target.leads_open());
+            .is_some_and(|e| e.alive && e.target.is_open_leader());
         leads && !self.lacks_member(id)
     }
 
@@ -189,7 +189,7 @@
         let open = self
             .all
             .values()
-            .filter(|e| e.alive && e.target.leads_open());
+            .filter(|e| e.alive && e.target.is_open_leader());
         open.map(|e| (e.target.id.clone(), self.lives(&e.members)))
             .collect()
     }
@@ -202,7 +202,7 @@
 
     /// Leaders that serve but lack a member.
     pub fn stalled(&self) -> HashSet<TargetId> {
-        let open = self.all.values().filter(|e| e.target.leads_open());
+        let open = self.all.values().filter(|e| e.target.is_open_leader());
         let lacking = open.filter(|e| e.stalled.is_some() || !e.alive);
         lacking.map(|e| e.target.id.clone()).collect()
     }
--- a/crates/thistlesill-fakes/src/fleet_file.rs
+++ b/crates/thistlesill-fakes/src/fleet_file.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 
 use serde::{Deserialize, Serialize};
-use thistlesill_core::report::Listed;
+use thistlesill_core::report::ListedInstance;
 use thistlesill_core::{DomainId, Generation, HallId, InstanceId, RegionId, ServiceName};
 
 /// The file that the stand-ins are started with.
@@ -94,13 +94,13 @@
 
 impl FleetFile {
     /// All instances, in the order of the file.
-    pub fn places(&self) -> Vec<Listed> {
+    pub fn places(&self) -> Vec<ListedInstance> {
         let mut places = Vec::new();
         let mut port = self.first_port;
         for hall in &self.halls {
             for domain in &hall.domains {
                 for n in 0..domain.instances {
-                    places.push(Listed {
+                    places.push(ListedInstance {
                         instance: InstanceId::new(format!("{}-{n:02}", domain.domain)),
                         region: self.region.clone(),
                         hall: hall.hall.clone(),
@@ -115,7 +115,7 @@
                 }
             }
             for service in &hall.services {
-                places.push(Listed {
+                places.push(ListedInstance {
                     instance: InstanceId::new(format!("{}-{service}", hall.hall)),
                     region: self.region.clone(),
                     hall: hall.hall.clone(),
--- a/crates/thistlesill-net/src/base.rs
+++ b/crates/thistlesill-net/src/base.rs
@@ -5,7 +5,7 @@
 
 use thistlesill_core::config::DaemonConfig;
 use thistlesill_core::settings::Tree;
-use thistlesill_core::timeline::Happening;
+use thistlesill_core::timeline::TimelineEvent;
 use thistlesill_core::{Millis, NodeId};
 use tokio::sync::mpsc;
 
@@ -53,7 +53,7 @@
     tokio::spawn(link.clone().listen(heard));
     spawn_answers(config, secrets, shelf.clone());
     spawn_admin(config, secrets, asked, journal.clone());
-    journal.note(Happening::Started);
+    journal.note(TimelineEvent::Started);
     let platform = Platform::new(config.platform);
     Ok(Base {
         feed: SettingsFeed::new(config, shelf, link.clone(), platform.clone()),
--- a/crates/thistlesill-net/src/journal.rs
+++ b/crates/thistlesill-net/src/journal.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 
 use thistlesill_core::time::HybridClock;
-use thistlesill_core::timeline::{Happening, Record, Ring};
+use thistlesill_core::timeline::{Record, Ring, TimelineEvent};
 use thistlesill_core::{NodeId, Stamp};
 
 use crate::clock::Clock;
@@ -35,7 +35,7 @@
     }
 
     /// Notes an event.
-    pub fn note(&self, what: Happening) {
+    pub fn note(&self, what: TimelineEvent) {
         self.with(|inner| {
             let stamp = inner.clock.tick(Clock::wall());
             inner.ring.push(Record {
--- a/crates/thistlesill-net/src/peer.rs
+++ b/crates/thistlesill-net/src/peer.rs
@@ -12,7 +12,7 @@
 use snafu::{ResultExt, Snafu};
 use thistlesill_core::NodeId;
 use thistlesill_core::config::PeerConfig;
-use thistlesill_core::message::{Datagram, PeerBody, StreamAsk, StreamReply};
+use thistlesill_core::message::{Datagram, PeerBody, StreamReply, StreamRequest};
 use thistlesill_core::seal::{MAX_DATAGRAM, SealError, SharedKey};
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 use tokio::sync::mpsc;
@@ -158,7 +158,7 @@
     pub async fn ask(
         &self,
         address: SocketAddr,
-        ask: &StreamAsk,
+        ask: &StreamRequest,
     ) -> Result<StreamReply, PeerError> {
         let exchange = async {
             let stream = TcpStream::connect(address)
@@ -182,7 +182,7 @@
 /// [`PeerError::Io`] if the address is taken.
 pub async fn answer<F>(address: SocketAddr, key: SharedKey, reply: F) -> Result<(), PeerError>
 where
-    F: Fn(StreamAsk) -> StreamReply + Clone + Send + 'static,
+    F: Fn(StreamRequest) -> StreamReply + Clone + Send + 'static,
 {
     let listener = TcpListener::bind(address)
         .await
@@ -209,10 +209,10 @@
 
 async fn answer_one<F>(stream: TcpStream, key: &SharedKey, reply: F) -> Result<(), PeerError>
 where
-    F: Fn(StreamAsk) -> StreamReply,
+    F: Fn(StreamRequest) -> StreamReply,
 {
     let mut frames = frames(stream, MAX_FRAME);
-    let ask: StreamAsk = read(&mut frames, key).await?;
+    let ask: StreamRequest = read(&mut frames, key).await?;
     write(&mut frames, key, &reply(ask)).await
 }
 
--- a/crates/thistlesill-net/src/platform.rs
+++ b/crates/thistlesill-net/src/platform.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use thistlesill_core::report::Listed;
+use thistlesill_core::report::ListedInstance;
 use thistlesill_core::table::{Read, RowKey, Rows, Txn, TxnReply, TxnResult};
 
 use crate::http::{HttpClient, HttpError};
@@ -59,7 +59,7 @@
     /// # Errors
     ///
     /// Any [`HttpError`].
-    pub async fn instances(&self) -> Result<Vec<Listed>, HttpError> {
+    pub async fn instances(&self) -> Result<Vec<ListedInstance>, HttpError> {
         let call = self.http.get_json(self.address, "/instances", LIST_LIMIT);
         call.await
     }
--- a/crates/thistlesill-net/src/sync.rs
+++ b/crates/thistlesill-net/src/sync.rs
@@ -7,7 +7,7 @@
 
 use arc_swap::ArcSwapOption;
 use thistlesill_core::config::PeerConfig;
-use thistlesill_core::message::{ChangeEntry, StreamAsk, StreamReply};
+use thistlesill_core::message::{ChangeEntry, StreamReply, StreamRequest};
 use thistlesill_core::rendezvous::is_among;
 use thistlesill_core::row::{BRANCH_PREFIX, EditRow, HEAD_KEY, HeadRow, SETTINGS_PREFIX, edit_key};
 use thistlesill_core::settings::{Branch, Tree, TreeDiff, check};
@@ -36,7 +36,10 @@
     /// Puts settings in force, unless newer ones are.
     pub fn put(&self, tree: &Arc<Tree>) {
         let old = self.get();
-        if old.as_ref().is_some_and(|t| !t.yields_to(tree.revision())) {
+        if old
+            .as_ref()
+            .is_some_and(|t| !t.is_older_than(tree.revision()))
+        {
             return;
         }
         if let Some(old) = old {
@@ -58,8 +61,8 @@
 
     /// Answers a peer's question: with the changes since its revision if
     /// they are kept, else with the whole tree.
-    pub fn reply(&self, ask: &StreamAsk) -> StreamReply {
-        let StreamAsk::Settings { have } = ask;
+    pub fn reply(&self, ask: &StreamRequest) -> StreamReply {
+        let StreamRequest::Settings { have } = ask;
         let Some(tree) = self.get().filter(|t| t.revision() > *have) else {
             return StreamReply::Nothing;
         };
@@ -205,7 +208,10 @@
 /// Reads the settings from a peer if they are newer than those on the shelf.
 pub async fn from_peer(link: &PeerLink, peer: SocketAddr, shelf: &Shelf) -> Option<Arc<Tree>> {
     let have = shelf.revision();
-    let reply = link.ask(peer, &StreamAsk::Settings { have }).await.ok()?;
+    let reply = link
+        .ask(peer, &StreamRequest::Settings { have })
+        .await
+        .ok()?;
     let tree = match reply {
         StreamReply::Nothing => None,
         StreamReply::Changes { changes } => {
--- a/crates/thistlesill-net/tests/shelf.rs
+++ b/crates/thistlesill-net/tests/shelf.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use thistlesill_core::message::{StreamAsk, StreamReply};
+use thistlesill_core::message::{StreamReply, StreamRequest};
 use thistlesill_core::settings::{Branch, Tree};
 use thistlesill_net::sync::Shelf;
 
@@ -28,7 +28,7 @@
 }
 
 fn ask(shelf: &Shelf, have: u64) -> StreamReply {
-    shelf.reply(&StreamAsk::Settings { have })
+    shelf.reply(&StreamRequest::Settings { have })
 }
 
 #[test]
--- a/crates/thistlesill-planner/src/daemon.rs
+++ b/crates/thistlesill-planner/src/daemon.rs
@@ -11,7 +11,7 @@
 use thistlesill_core::report::Order;
 use thistlesill_core::settings::Tree;
 use thistlesill_core::table::{RowKey, Txn};
-use thistlesill_core::timeline::Happening;
+use thistlesill_core::timeline::TimelineEvent;
 use thistlesill_core::{HallId, Millis};
 use thistlesill_net::admin::{AdminAsk, AdminReply, Question};
 use thistlesill_net::base::{self, SettingsFeed};
@@ -309,21 +309,21 @@
     }
 }
 
-fn log_event(what: &Happening) {
+fn log_event(what: &TimelineEvent) {
     match what {
-        Happening::LeaseGained { hall, term } => {
+        TimelineEvent::LeaseGained { hall, term } => {
             log::info!("planner: holds the lease of {hall}, term {term}");
         }
-        Happening::LeaseEnded { hall, term } => {
+        TimelineEvent::LeaseEnded { hall, term } => {
             log::info!("planner: no longer holds the lease of {hall}, term {term}");
         }
-        Happening::GroupPlanned { group, members, .. } => {
+        TimelineEvent::GroupPlanned { group, members, .. } => {
             log::info!(
                 "planner: group {group} planned with {} members",
                 members.len()
             );
         }
-        Happening::GroupEnded { group, why, .. } => {
+        TimelineEvent::GroupEnded { group, why, .. } => {
             log::info!("planner: group {group} ended: {why:?}");
         }
         _ => {}
--- a/crates/thistlesill-policy/src/edge/asked.rs
+++ b/crates/thistlesill-policy/src/edge/asked.rs
@@ -48,7 +48,7 @@
     fn work(&self) -> Option<f64> {
         let plan = self.engine.plan(self.model)?;
         let read = f64::from(self.prompt) / self.engine.read_rate.max(1.0) * 1_000.0;
-        let answer = self.answer.map_or(self.engine.usual_answer, |t| t as f64);
+        let answer = self.answer.map_or(self.engine.mean_answer, |t| t as f64);
         Some(self.part() * plan.pace * (read + answer * self.engine.step_each))
     }
 }
--- a/crates/thistlesill-policy/src/edge/book.rs
+++ b/crates/thistlesill-policy/src/edge/book.rs
@@ -303,7 +303,7 @@
         return Serves::Requests(None);
     }
     match &target.member {
-        Some(member) if target.leads_open() => Serves::Requests(member.model.clone()),
+        Some(member) if target.is_open_leader() => Serves::Requests(member.model.clone()),
         _ => Serves::Nothing,
     }
 }
--- a/crates/thistlesill-policy/src/edge/fleet.rs
+++ b/crates/thistlesill-policy/src/edge/fleet.rs
@@ -371,7 +371,8 @@
     pub fn broken(&self, targets: &HashMap<TargetId, Target>) -> Vec<TargetId> {
         let broken = |t: &&Target| {
             let group = t.member.as_ref().map(|m| &m.of);
-            self.is_dead(&t.id) || t.leads_open() && group.is_some_and(|g| self.lacks(g, targets))
+            self.is_dead(&t.id)
+                || t.is_open_leader() && group.is_some_and(|g| self.lacks(g, targets))
         };
         let found = targets.values().filter(broken).map(|t| t.id.clone());
         let mut found: Vec<TargetId> = found.collect();
--- a/crates/thistlesill-policy/src/edge/fleet/census.rs
+++ b/crates/thistlesill-policy/src/edge/fleet/census.rs
@@ -92,7 +92,7 @@
     }
 
     fn count_open(&self, view: &FleetView<'_>, plan: &ModelPlan) -> ModelCensus {
-        let leads = |t: &&Target| t.leads_open() && t.model() == Some(&plan.model);
+        let leads = |t: &&Target| t.is_open_leader() && t.model() == Some(&plan.model);
         ModelCensus {
             model: plan.model.clone(),
             open: view.targets.values().filter(leads).count(),
@@ -103,7 +103,11 @@
 }
 
 fn count_domains(view: &FleetView<'_>) -> BTreeMap<Option<DomainId>, DomainCensus> {
-    let open: Vec<_> = view.targets.values().filter(|t| t.leads_open()).collect();
+    let open: Vec<_> = view
+        .targets
+        .values()
+        .filter(|t| t.is_open_leader())
+        .collect();
     let serving = |target: &Target| {
         let group = target.member.as_ref().map(|m| &m.of);
         group.is_some()
--- a/crates/thistlesill-policy/src/edge/fleet/conversion.rs
+++ b/crates/thistlesill-policy/src/edge/fleet/conversion.rs
@@ -207,7 +207,7 @@
         };
         for standing in survey.groups.values() {
             let smaller = standing.plan(view).is_some_and(|p| p.size < largest.size);
-            if smaller && standing.leader.is_some_and(Target::leads_open) {
+            if smaller && standing.leader.is_some_and(Target::is_open_leader) {
                 self.stage_group(largest, standing, now, actions);
             }
         }
@@ -320,7 +320,7 @@
         counts: &BTreeMap<Model, usize>,
     ) -> Option<&'a Target> {
         let plan = standing.plan(view)?;
-        let leader = standing.leader.filter(|t| t.leads_open())?;
+        let leader = standing.leader.filter(|t| t.is_open_leader())?;
         if view.is_evacuated(leader) {
             return None;
         }
--- a/crates/thistlesill-policy/src/edge/fleet/demand.rs
+++ b/crates/thistlesill-policy/src/edge/fleet/demand.rs
@@ -77,7 +77,7 @@
 fn lacking(view: &FleetView<'_>, plan: &ModelPlan) -> f64 {
     let limited = view.rooms.iter().filter(|(id, _)| {
         let leader = view.targets.get(*id);
-        leader.is_some_and(|t| t.leads_open() && t.model() == Some(&plan.model))
+        leader.is_some_and(|t| t.is_open_leader() && t.model() == Some(&plan.model))
     });
     limited.map(|(_, room)| (1.0 - room).clamp(0.0, 1.0)).sum()
 }
--- a/crates/thistlesill-policy/src/edge/fleet/forming.rs
+++ b/crates/thistlesill-policy/src/edge/fleet/forming.rs
@@ -78,7 +78,7 @@
             return self.members.iter().all(ready);
         }
         let leader = self.members.first().and_then(|id| view.targets.get(id));
-        leader.is_some_and(|t| shows(&t.id, group, view) && t.leads_open())
+        leader.is_some_and(|t| shows(&t.id, group, view) && t.is_open_leader())
     }
 
     /// The members that neither show the group nor took the order to join it.
--- a/crates/thistlesill-policy/src/edge/fleet/loads.rs
+++ b/crates/thistlesill-policy/src/edge/fleet/loads.rs
@@ -18,7 +18,9 @@
 /// weight store serves at full rate, so that it is never idle; many more
 /// would only make each last longer.
 pub(super) fn most_calm(engine: &Engine) -> usize {
-    let full = engine.loads_once.saturating_add(engine.loads_once / 2);
+    let full = engine
+        .concurrent_loads
+        .saturating_add(engine.concurrent_loads / 2);
     full.max(LEAST_CALM)
 }
 
--- a/crates/thistlesill-policy/src/edge/fleet/memory.rs
+++ b/crates/thistlesill-policy/src/edge/fleet/memory.rs
@@ -73,7 +73,7 @@
         let first = TargetId::from(target.instance().clone());
         let lives = self.addresses.range(first..).map(|(id, _)| id);
         let mut lives = lives.take_while(|id| id.instance() == target.instance());
-        lives.any(|id| id.is_other_life_of(target))
+        lives.any(|id| id.is_other_incarnation_of(target))
     }
 
     /// Takes in how the fleet stands, and forgets what has become old; `plans` tells whether
@@ -127,7 +127,7 @@
             if !roster.contains(&target.id) {
                 roster.insert(target.id.clone());
             }
-            if target.leads_open() && self.opening.get(&member.of) == Some(&0) {
+            if target.is_open_leader() && self.opening.get(&member.of) == Some(&0) {
                 self.opening.remove(&member.of);
             }
             if member.rank == 0 {
--- a/crates/thistlesill-policy/src/edge/fleet/spares.rs
+++ b/crates/thistlesill-policy/src/edge/fleet/spares.rs
@@ -155,7 +155,7 @@
 
     /// Whether one more target may load weights while requests run.
     pub(super) fn may_load(&mut self, view: &FleetView<'_>, now: Millis) -> bool {
-        let most = view.engine.loads_once.max(1);
+        let most = view.engine.concurrent_loads.max(1);
         self.staging.len() < most && self.loads.allows(1, view.engine.loads_rate, now)
     }
 
--- a/crates/thistlesill-policy/src/edge/fleet/standby.rs
+++ b/crates/thistlesill-policy/src/edge/fleet/standby.rs
@@ -208,7 +208,7 @@
     let view = *view;
     survey.groups.iter().filter(move |(_, standing)| {
         let model = standing.plan(&view).map(|p| &p.model);
-        let serves = |t: &Target| t.leads_open() && !view.is_evacuated(t);
+        let serves = |t: &Target| t.is_open_leader() && !view.is_evacuated(t);
         standing.leader.is_some_and(serves) && model == Some(&plan.model)
     })
 }
--- a/crates/thistlesill-policy/src/edge/load/pass.rs
+++ b/crates/thistlesill-policy/src/edge/load/pass.rs
@@ -31,7 +31,7 @@
 
     /// A usual answer, from its first event to its last.
     pub(super) fn answer(&self, engine: &Engine) -> f64 {
-        self.event / f64::from(engine.stride.max(1)) * engine.usual_answer
+        self.event / f64::from(engine.stride.max(1)) * engine.mean_answer
     }
 
     /// The time until one more request has its first event.
--- a/crates/thistlesill-policy/src/plan.rs
+++ b/crates/thistlesill-policy/src/plan.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 use thistlesill_core::report::{Fence, Load, Order, OrderReply};
 use thistlesill_core::table::{RowKey, Rows, Txn, TxnResult};
-use thistlesill_core::timeline::{EndReason, Happening};
+use thistlesill_core::timeline::{EndReason, TimelineEvent};
 use thistlesill_core::{DomainId, GroupId, HallId, InstanceId, Millis, NodeId, RegionId};
 
 pub use self::hall::HallPlanner;
@@ -71,7 +71,7 @@
         address: SocketAddr,
     },
     /// Note an event on the time line.
-    Note(Happening),
+    Note(TimelineEvent),
 }
 
 /// What a planner learns beside the view.
--- a/crates/thistlesill-policy/src/plan/assess.rs
+++ b/crates/thistlesill-policy/src/plan/assess.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use thistlesill_core::message::Seen;
+use thistlesill_core::message::ObservedState;
 use thistlesill_core::row::GroupRow;
 use thistlesill_core::timeline::EndReason;
 use thistlesill_core::{InstanceId, Millis};
@@ -97,11 +97,11 @@
         .membership()
         .is_some_and(|m| m.group == row.group && m.epoch == row.epoch);
     match &seen.sighting.state {
-        Seen::Lost => Standing::Missing,
-        Seen::Idle => Standing::Idle,
-        Seen::Loading(_) if ours => Standing::Loading,
-        Seen::Ready(_) if ours => Standing::Ready,
-        Seen::Draining(_) if ours => Standing::Draining,
+        ObservedState::Lost => Standing::Missing,
+        ObservedState::Idle => Standing::Idle,
+        ObservedState::Loading(_) if ours => Standing::Loading,
+        ObservedState::Ready(_) if ours => Standing::Ready,
+        ObservedState::Draining(_) if ours => Standing::Draining,
         _ => Standing::Elsewhere,
     }
 }
--- a/crates/thistlesill-policy/src/plan/hall/holding.rs
+++ b/crates/thistlesill-policy/src/plan/hall/holding.rs
@@ -5,7 +5,7 @@
 use thistlesill_core::Millis;
 use thistlesill_core::row::{lease_key, term_key};
 use thistlesill_core::settings::{Context, Tree};
-use thistlesill_core::timeline::Happening;
+use thistlesill_core::timeline::TimelineEvent;
 
 use super::{Flight, HallPlanner, ORDER_DELAY};
 use crate::lease::{LeaseNews, LeaseStep};
@@ -38,7 +38,7 @@
                 self.forget();
                 self.gained = now;
                 self.quiet = now + self.options.lease.length + ORDER_DELAY;
-                self.note(Happening::LeaseGained {
+                self.note(TimelineEvent::LeaseGained {
                     hall: self.options.hall.clone(),
                     term,
                 });
@@ -68,7 +68,7 @@
 
     pub(super) fn ended_term(&mut self, term: u64) {
         self.forget();
-        self.note(Happening::LeaseEnded {
+        self.note(TimelineEvent::LeaseEnded {
             hall: self.options.hall.clone(),
             term,
         });
--- a/crates/thistlesill-policy/src/plan/hall/ordering.rs
+++ b/crates/thistlesill-policy/src/plan/hall/ordering.rs
@@ -2,10 +2,10 @@
 
 use std::collections::BTreeMap;
 
-use thistlesill_core::message::Seen;
+use thistlesill_core::message::ObservedState;
 use thistlesill_core::report::{Fence, Order, Task};
 use thistlesill_core::row::Held;
-use thistlesill_core::timeline::Happening;
+use thistlesill_core::timeline::TimelineEvent;
 use thistlesill_core::{InstanceId, Millis};
 
 use super::{EPOCH_BITS, EPOCH_MASK, HallPlanner, join_tasks, quiesce_task};
@@ -95,7 +95,7 @@
             Some(Held::Member { .. }) => false,
             Some(Held::Aside { incarnation }) => {
                 let same = seen.sighting.incarnation == *incarnation;
-                member.is_some() || same && seen.sighting.state == Seen::Idle
+                member.is_some() || same && seen.sighting.state == ObservedState::Idle
             }
             None => member.is_some(),
         }
@@ -110,7 +110,7 @@
             let Some(seen) = observed.get(&instance) else {
                 continue;
             };
-            self.note(Happening::Ordered {
+            self.note(TimelineEvent::Ordered {
                 instance: instance.clone(),
                 term: pending.fence.term,
                 epoch: pending.fence.epoch,
@@ -140,7 +140,7 @@
         }
     }
 
-    pub(super) fn note(&mut self, what: Happening) {
+    pub(super) fn note(&mut self, what: TimelineEvent) {
         self.out.push(PlanAction::Note(what));
     }
 }
--- a/crates/thistlesill-policy/src/plan/hall/planning.rs
+++ b/crates/thistlesill-policy/src/plan/hall/planning.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use thistlesill_core::message::Seen;
+use thistlesill_core::message::ObservedState;
 use thistlesill_core::report::{Load, Task};
 use thistlesill_core::row::{GroupRow, Held, InstanceRow, group_key, instance_key, term_key};
 use thistlesill_core::settings::{Context, Tree};
@@ -253,13 +253,15 @@
         if seen.sighting.leaving || seen.until <= now {
             return Availability::Missing;
         }
-        let idle = seen.sighting.state == Seen::Idle;
+        let idle = seen.sighting.state == ObservedState::Idle;
         let Some(held) = self.held.get(instance) else {
             return match &seen.sighting.state {
-                Seen::Idle => Availability::Free,
-                Seen::Loading(_) | Seen::Ready(_) | Seen::Draining(_) => Availability::Soon,
-                Seen::Lost => Availability::Missing,
-                Seen::Service(_) => Availability::Held,
+                ObservedState::Idle => Availability::Free,
+                ObservedState::Loading(_)
+                | ObservedState::Ready(_)
+                | ObservedState::Draining(_) => Availability::Soon,
+                ObservedState::Lost => Availability::Missing,
+                ObservedState::Service(_) => Availability::Held,
             };
         };
         match &held.row.held {
--- a/crates/thistlesill-policy/src/plan/hall/rows.rs
+++ b/crates/thistlesill-policy/src/plan/hall/rows.rs
@@ -2,7 +2,7 @@
 
 use thistlesill_core::row::{GroupRow, Held, InstanceRow, plan_prefix, term_key};
 use thistlesill_core::table::{RowKey, Rows, TxnReply, TxnResult};
-use thistlesill_core::timeline::Happening;
+use thistlesill_core::timeline::TimelineEvent;
 use thistlesill_core::{InstanceId, Millis};
 
 use super::{Change, Flight, HallPlanner, HeldRow, planned};
@@ -104,7 +104,7 @@
         for (group, why) in change.ended {
             if let Some(planned) = self.groups.remove(&group) {
                 let epoch = planned.row.epoch;
-                self.note(Happening::GroupEnded { group, epoch, why });
+                self.note(TimelineEvent::GroupEnded { group, epoch, why });
             }
         }
         for (instance, row) in change.aside {
@@ -120,7 +120,7 @@
                 self.hold(instance.clone(), InstanceRow { held }, version, now);
                 self.orders.drop(instance);
             }
-            self.note(Happening::GroupPlanned {
+            self.note(TimelineEvent::GroupPlanned {
                 group: row.group.clone(),
                 epoch: row.epoch,
                 members: row.members.clone(),
--- a/crates/thistlesill-policy/src/plan/pools.rs
+++ b/crates/thistlesill-policy/src/plan/pools.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use thistlesill_core::message::{Seen, Sighting};
+use thistlesill_core::message::{ObservedState, Sighting};
 use thistlesill_core::report::Load;
 use thistlesill_core::settings::{Context, Tree, Values};
 use thistlesill_core::{GroupId, HallId, InstanceId, Millis, RegionId};
@@ -45,7 +45,7 @@
 
 /// The pool that an instance belongs to; `None` for a plain service.
 pub(super) fn pool_of(sighting: &Sighting) -> Option<PoolKey> {
-    let plain = matches!(sighting.state, Seen::Service(_));
+    let plain = matches!(sighting.state, ObservedState::Service(_));
     (!plain).then(|| PoolKey {
         domain: sighting.domain.clone(),
         generation: sighting.generation.clone(),
--- a/crates/thistlesill-policy/src/planner.rs
+++ b/crates/thistlesill-policy/src/planner.rs
@@ -7,9 +7,9 @@
 use std::sync::Arc;
 
 use thistlesill_core::chart::ChartError;
-use thistlesill_core::report::Listed;
+use thistlesill_core::report::ListedInstance;
 use thistlesill_core::settings::{Context, Tree};
-use thistlesill_core::timeline::Happening;
+use thistlesill_core::timeline::TimelineEvent;
 use thistlesill_core::{HallId, Millis, NodeId};
 
 use crate::charts::Charts;
@@ -37,7 +37,7 @@
     options: PlannerOptions,
     charts: Charts,
     tree: Option<Arc<Tree>>,
-    listed: Vec<Listed>,
+    listed: Vec<ListedInstance>,
     watch: Watch,
     view: View,
     halls: BTreeMap<HallId, HallPlanner>,
@@ -172,25 +172,26 @@
         if self
             .tree
             .as_ref()
-            .is_some_and(|t| !t.yields_to(tree.revision()))
+            .is_some_and(|t| !t.is_older_than(tree.revision()))
         {
             return;
         }
         let revision = tree.revision();
         self.tree = Some(tree);
-        let note = Happening::SettingsInForce { revision };
+        let note = TimelineEvent::SettingsInForce { revision };
         self.out.push(PlannerAction::Note(note));
         self.out.push(PlannerAction::TellHead(revision));
     }
 
     /// Takes over the list. A list that is empty is not believed: the
     /// platform answers so when it has lost sight of all.
-    fn list(&mut self, listed: Vec<Listed>) {
+    fn list(&mut self, listed: Vec<ListedInstance>) {
         if listed.is_empty() && !self.listed.is_empty() {
             return;
         }
         let region = &self.options.region;
-        let ours: Vec<Listed> = listed.into_iter().filter(|l| l.region == *region).collect();
+        let ours: Vec<ListedInstance> =
+            listed.into_iter().filter(|l| l.region == *region).collect();
         for entry in &ours {
             if !self.halls.contains_key(&entry.hall) {
                 let planner = self.hall_planner(&entry.hall);
@@ -345,7 +346,7 @@
     /// Gives up all leases, so that others need not wait them out.
     fn stop(&mut self, now: Millis) {
         self.stopping = true;
-        self.out.push(PlannerAction::Note(Happening::Stopping));
+        self.out.push(PlannerAction::Note(TimelineEvent::Stopping));
         let halls: Vec<HallId> = self.halls.keys().cloned().collect();
         for hall in halls {
             let Some(planner) = self.halls.get_mut(&hall) else {
--- a/crates/thistlesill-policy/src/planner/message.rs
+++ b/crates/thistlesill-policy/src/planner/message.rs
@@ -5,11 +5,11 @@
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
-use thistlesill_core::message::{Beat, Digest, Sighting};
-use thistlesill_core::report::{Fence, Listed, Order, OrderReply, Report};
+use thistlesill_core::message::{Digest, Heartbeat, Sighting};
+use thistlesill_core::report::{Fence, ListedInstance, Order, OrderReply, Report};
 use thistlesill_core::settings::Tree;
 use thistlesill_core::table::{RowKey, Rows, Txn, TxnResult};
-use thistlesill_core::timeline::Happening;
+use thistlesill_core::timeline::TimelineEvent;
 use thistlesill_core::{HallId, InstanceId, Millis, NodeId, RegionId};
 
 use crate::plan::Strategy;
@@ -46,7 +46,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum PlannerEvent {
     /// The list of instances was read.
-    Listed(Vec<Listed>),
+    Listed(Vec<ListedInstance>),
     /// A probe brought a report.
     Reported {
         /// The report.
@@ -59,7 +59,7 @@
         /// The watcher.
         from: NodeId,
         /// The beat.
-        beat: Beat,
+        beat: Heartbeat,
         /// Our wall clock less the sender's, in milliseconds.
         lag: i64,
     },
@@ -144,7 +144,7 @@
         address: SocketAddr,
     },
     /// Send a beat to all peers.
-    TellBeat(Beat),
+    TellBeat(Heartbeat),
     /// Send our full view to one peer.
     TellDigest {
         /// The peer.
@@ -157,7 +157,7 @@
     /// Tell the peers which settings are in force here.
     TellHead(u64),
     /// Note an event on the time line.
-    Note(Happening),
+    Note(TimelineEvent),
     /// The daemon may exit.
     Exit,
 }
--- a/crates/thistlesill-policy/src/presence/view.rs
+++ b/crates/thistlesill-policy/src/presence/view.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-use thistlesill_core::message::{Beat, Digest, Gauge, Seen, Sighting};
+use thistlesill_core::message::{Digest, Gauge, Heartbeat, ObservedState, Sighting};
 use thistlesill_core::report::Pressure;
 use thistlesill_core::{InstanceId, Millis, NodeId};
 
@@ -77,7 +77,7 @@
     /// milliseconds. What exceeds the least lag ever seen from this watcher
     /// is time spent on the way or in a queue, and ages the beat: a process
     /// that was paused does not take old beats from its socket for new ones.
-    pub fn beat(&mut self, from: &NodeId, beat: &Beat, lag: i64, now: Millis) -> Heard {
+    pub fn beat(&mut self, from: &NodeId, beat: &Heartbeat, lag: i64, now: Millis) -> Heard {
         let watcher = self.watchers.entry(from.clone()).or_default();
         if beat.run < watcher.run || (beat.run == watcher.run && beat.seq <= watcher.seq) {
             return Heard::Stale;
@@ -224,7 +224,7 @@
     }
 
     fn observed(&self, sighting: &Arc<Sighting>, window: Millis) -> Observed {
-        let until = if self.in_step && sighting.state != Seen::Lost {
+        let until = if self.in_step && sighting.state != ObservedState::Lost {
             self.confirmed + window
         } else {
             Millis::ZERO
@@ -247,7 +247,7 @@
     match (known_fresh, other_fresh) {
         (true, true) if differs(&known.sighting, &other.sighting) => {
             let mut newer = newer(&known.sighting, &other.sighting).clone();
-            Arc::make_mut(&mut newer).state = Seen::Lost;
+            Arc::make_mut(&mut newer).state = ObservedState::Lost;
             *known = Observed {
                 sighting: newer,
                 until: known.until.max(other.until),
--- a/crates/thistlesill-policy/src/presence/watch.rs
+++ b/crates/thistlesill-policy/src/presence/watch.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use thistlesill_core::message::{Beat, Digest, Gauge, MAX_SIGHTINGS, Seen, Sighting};
+use thistlesill_core::message::{Digest, Gauge, Heartbeat, MAX_SIGHTINGS, ObservedState, Sighting};
 use thistlesill_core::rendezvous::is_among;
-use thistlesill_core::report::{CacheEvent, Listed, Pressure, Report};
+use thistlesill_core::report::{CacheEvent, ListedInstance, Pressure, Report};
 use thistlesill_core::{HallId, InstanceId, Millis, NodeId};
 
 use super::WATCHERS;
@@ -74,7 +74,7 @@
     }
 
     /// Takes over a share of the targets, as [`share`] gives it.
-    pub fn assign(&mut self, mine: &[Listed], now: Millis) {
+    pub fn assign(&mut self, mine: &[ListedInstance], now: Millis) {
         let mut kept = BTreeMap::new();
         for entry in mine {
             let old = self.targets.remove(&entry.instance);
@@ -83,8 +83,8 @@
         // A target that is not ours any more, or not listed, is taken back.
         for (instance, mut gone) in std::mem::take(&mut self.targets) {
             gone.mine = false;
-            gone.sent &= gone.sighting.state == Seen::Lost;
-            gone.sighting.state = Seen::Lost;
+            gone.sent &= gone.sighting.state == ObservedState::Lost;
+            gone.sighting.state = ObservedState::Lost;
             kept.insert(instance, gone);
         }
         self.targets = kept;
@@ -133,13 +133,13 @@
     /// Changes that do not fit are left for the next beat. They were not
     /// confirmed before, so leaving them out is safe; a change for the worse
     /// goes first.
-    pub fn beat(&mut self, now: Millis) -> Beat {
+    pub fn beat(&mut self, now: Millis) -> Heartbeat {
         self.sweep(now);
         let changed = self.take_changes();
         self.changes += changed.len() as u64;
         self.seq += 1;
         self.targets.retain(|_, t| t.mine || !t.sent);
-        Beat {
+        Heartbeat {
             seq: self.seq,
             run: self.run,
             oldest: self.oldest(now),
@@ -184,9 +184,9 @@
     fn sweep(&mut self, now: Millis) {
         for target in self.targets.values_mut() {
             let lost = now - target.confirmed >= self.periods.lost;
-            if lost && target.sighting.state != Seen::Lost {
+            if lost && target.sighting.state != ObservedState::Lost {
                 let mut next = target.sighting.clone();
-                next.state = Seen::Lost;
+                next.state = ObservedState::Lost;
                 replace(target, next);
             }
         }
@@ -195,7 +195,7 @@
     /// The age of the oldest report that a sent sighting rests on.
     fn oldest(&self, now: Millis) -> Millis {
         let held = self.targets.values().filter(|t| t.sent);
-        held.filter(|t| t.sighting.state != Seen::Lost)
+        held.filter(|t| t.sighting.state != ObservedState::Lost)
             .map(|t| now - t.confirmed)
             .max()
             .unwrap_or(Millis::ZERO)
@@ -203,7 +203,7 @@
 
     fn take_changes(&mut self) -> Vec<Sighting> {
         let mut unsent: Vec<&mut Target> = self.targets.values_mut().filter(|t| !t.sent).collect();
-        unsent.sort_by_key(|t| t.sighting.state != Seen::Lost && !t.sighting.leaving);
+        unsent.sort_by_key(|t| t.sighting.state != ObservedState::Lost && !t.sighting.leaving);
         let mut changed = Vec::new();
         for target in unsent.into_iter().take(MAX_SIGHTINGS) {
             target.sent = true;
@@ -215,9 +215,9 @@
     fn take_gauges(&mut self, now: Millis) -> Vec<Gauge> {
         let turn = self.seq + self.run;
         let leads = |t: &Target| match &t.sighting.state {
-            Seen::Draining(m) => m.rank == 0,
-            Seen::Ready(m) => m.rank == 0 && has_turn(turn, &t.sighting.instance),
-            Seen::Service(_) => has_turn(turn, &t.sighting.instance),
+            ObservedState::Draining(m) => m.rank == 0,
+            ObservedState::Ready(m) => m.rank == 0 && has_turn(turn, &t.sighting.instance),
+            ObservedState::Service(_) => has_turn(turn, &t.sighting.instance),
             _ => false,
         };
         let leaders: Vec<InstanceId> = self
@@ -258,7 +258,7 @@
 ///
 /// Each target has [`WATCHERS`] of them, of its own hall first: the death of
 /// one leaves two, whose word goes on counting.
-pub fn share(me: &NodeId, alive: &[Watcher], listed: &[Listed]) -> Vec<Listed> {
+pub fn share(me: &NodeId, alive: &[Watcher], listed: &[ListedInstance]) -> Vec<ListedInstance> {
     let mut near: BTreeMap<&HallId, Vec<NodeId>> = BTreeMap::new();
     for entry in listed {
         near.entry(&entry.hall)
@@ -298,7 +298,7 @@
 }
 
 /// Keeps what is known of a listed target, or starts anew with a lost one.
-fn renew(old: Option<Target>, entry: &Listed, now: Millis) -> Target {
+fn renew(old: Option<Target>, entry: &ListedInstance, now: Millis) -> Target {
     let fresh = Target {
         mine: true,
         sighting: Sighting {
@@ -310,7 +310,7 @@
             address: entry.address,
             incarnation: 0,
             leaving: entry.leaving,
-            state: Seen::Lost,
+            state: ObservedState::Lost,
         },
         sent: false,
         probed: None,
@@ -326,7 +326,7 @@
         return fresh;
     }
     let mut next = target.sighting.clone();
-    next.leaving = entry.leaving || (next.leaving && next.state != Seen::Lost);
+    next.leaving = entry.leaving || (next.leaving && next.state != ObservedState::Lost);
     next.domain.clone_from(&entry.domain);
     replace(&mut target, next);
     target.mine = true;
--- a/crates/thistlesill-policy/src/router.rs
+++ b/crates/thistlesill-policy/src/router.rs
@@ -13,11 +13,11 @@
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
-use thistlesill_core::message::{Beat, Digest, Fatal, Usage};
+use thistlesill_core::message::{Digest, Fatal, Heartbeat, Usage};
 use thistlesill_core::row::Outcome;
 use thistlesill_core::settings::Tree;
 use thistlesill_core::table::{RowKey, Rows, Txn, TxnResult};
-use thistlesill_core::timeline::Happening;
+use thistlesill_core::timeline::TimelineEvent;
 use thistlesill_core::{
     Adapter, CustomerId, ErrorKind, HallId, Millis, Model, NodeId, RegionId, RequestId, ServiceName,
 };
@@ -156,7 +156,7 @@
         /// The watcher.
         from: NodeId,
         /// The beat.
-        beat: Beat,
+        beat: Heartbeat,
         /// Our wall clock less the sender's, in milliseconds.
         lag: i64,
     },
@@ -324,7 +324,7 @@
     /// Tell the peers which settings are in force here.
     TellHead(u64),
     /// Note an event on the time line.
-    Note(Happening),
+    Note(TimelineEvent),
     /// The daemon may exit.
     Exit,
 }
--- a/crates/thistlesill-policy/src/router/core.rs
+++ b/crates/thistlesill-policy/src/router/core.rs
@@ -17,7 +17,7 @@
 use thistlesill_core::chart::ChartError;
 use thistlesill_core::message::Fatal;
 use thistlesill_core::settings::Tree;
-use thistlesill_core::timeline::Happening;
+use thistlesill_core::timeline::TimelineEvent;
 use thistlesill_core::{ErrorKind, Millis, Model, RequestId};
 
 use super::request::Request;
@@ -233,7 +233,7 @@
             }
             RouterEvent::Stop => {
                 self.drain.stop(now);
-                self.note(Happening::Stopping);
+                self.note(TimelineEvent::Stopping);
             }
             RouterEvent::Tick => self.tick(now),
         }
@@ -241,7 +241,7 @@
         std::mem::take(&mut self.out)
     }
 
-    fn note(&mut self, what: Happening) {
+    fn note(&mut self, what: TimelineEvent) {
         self.out.push(RouterAction::Note(what));
     }
 }
--- a/crates/thistlesill-policy/src/router/core/admission.rs
+++ b/crates/thistlesill-policy/src/router/core/admission.rs
@@ -1,7 +1,7 @@
 //! From a request that arrives to one that waits to be sent.
 
 use thistlesill_core::settings::{Context, Tree, Values};
-use thistlesill_core::timeline::Happening;
+use thistlesill_core::timeline::TimelineEvent;
 use thistlesill_core::{CustomerId, ErrorKind, Millis, RequestId};
 
 use super::RouterCore;
@@ -15,7 +15,7 @@
 impl RouterCore {
     pub(super) fn arrive(&mut self, arrival: Arrival, now: Millis) {
         let id = arrival.request;
-        self.note(Happening::Arrived {
+        self.note(TimelineEvent::Arrived {
             request: id,
             customer: arrival.customer.clone(),
         });
@@ -109,7 +109,7 @@
                     return;
                 };
                 request.claimed = true;
-                self.note(Happening::Claimed { request: id });
+                self.note(TimelineEvent::Claimed { request: id });
                 self.enqueue(id, now);
             }
             Verdict::Held => self.fail(id, ErrorKind::KeyHeld, None, now),
--- a/crates/thistlesill-policy/src/router/core/attempts.rs
+++ b/crates/thistlesill-policy/src/router/core/attempts.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use thistlesill_core::timeline::Happening;
+use thistlesill_core::timeline::TimelineEvent;
 use thistlesill_core::{ErrorKind, Millis, RequestId};
 
 use super::{RouterCore, SERVICE_LEARNING, request_exposed};
@@ -85,7 +85,7 @@
                 load.first_token(took, ahead, wanted, now);
             }
             if offset == 0 {
-                self.note(Happening::FirstToken { request: id });
+                self.note(TimelineEvent::FirstToken { request: id });
             }
         }
         match placed {
@@ -263,7 +263,7 @@
         if let Some(load) = self.loads.get_mut(&key) {
             load.failed(now);
         }
-        self.note(Happening::AttemptFailed {
+        self.note(TimelineEvent::AttemptFailed {
             request: id,
             group: key.group,
         });
--- a/crates/thistlesill-policy/src/router/core/endings.rs
+++ b/crates/thistlesill-policy/src/router/core/endings.rs
@@ -1,7 +1,7 @@
 //! The final answer of a request: one, and at once.
 
 use thistlesill_core::row::Outcome;
-use thistlesill_core::timeline::Happening;
+use thistlesill_core::timeline::TimelineEvent;
 use thistlesill_core::{ErrorKind, Millis, RequestId};
 
 use super::RouterCore;
@@ -24,7 +24,7 @@
             Ending::Streamed { count, .. } => *count,
             Ending::Whole | Ending::Recorded(_) => 0,
         };
-        self.note(Happening::Completed {
+        self.note(TimelineEvent::Completed {
             request: id,
             tokens,
         });
@@ -68,7 +68,7 @@
     }
 
     pub(super) fn fail_now(&mut self, id: RequestId, kind: ErrorKind, after: Option<Millis>) {
-        self.note(Happening::Failed { request: id, kind });
+        self.note(TimelineEvent::Failed { request: id, kind });
         self.out.push(RouterAction::Fail {
             request: id,
             kind,
@@ -83,7 +83,7 @@
         let sent = matches!(request.state, RequestState::Sent | RequestState::Streaming);
         let (attempt, claimed, state) = (request.tries, request.claimed, request.state);
         let exposed = sent || request.exposed;
-        self.note(Happening::CallerGone { request: id });
+        self.note(TimelineEvent::CallerGone { request: id });
         if sent && claimed {
             // It runs once only, so it runs to its end, and its outcome is
             // recorded for the caller that asks again.
--- a/crates/thistlesill-policy/src/router/core/presence.rs
+++ b/crates/thistlesill-policy/src/router/core/presence.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use thistlesill_core::message::{Beat, Digest};
+use thistlesill_core::message::{Digest, Heartbeat};
 use thistlesill_core::settings::{Context, Tree};
-use thistlesill_core::timeline::Happening;
+use thistlesill_core::timeline::TimelineEvent;
 use thistlesill_core::{Millis, NodeId};
 
 use super::{PRESENCE, RouterCore, SLOTS};
@@ -19,7 +19,7 @@
         if self
             .tree
             .as_ref()
-            .is_some_and(|t| !t.yields_to(tree.revision()))
+            .is_some_and(|t| !t.is_older_than(tree.revision()))
         {
             return;
         }
@@ -33,11 +33,11 @@
         let revision = tree.revision();
         self.tree = Some(tree);
         self.refresh_slots();
-        self.note(Happening::SettingsInForce { revision });
+        self.note(TimelineEvent::SettingsInForce { revision });
         self.out.push(RouterAction::TellHead(revision));
     }
 
-    pub(super) fn beat(&mut self, from: &NodeId, beat: &Beat, lag: i64, now: Millis) {
+    pub(super) fn beat(&mut self, from: &NodeId, beat: &Heartbeat, lag: i64, now: Millis) {
         match self.view.beat(from, beat, lag, now) {
             Heard::Stale => return,
             Heard::AskDigest => self.out.push(RouterAction::AskDigest(from.clone())),
@@ -72,13 +72,13 @@
         let old: BTreeSet<GroupKey> = self.roster.servers.iter().map(|s| s.key.clone()).collect();
         let new: BTreeSet<GroupKey> = roster.servers.iter().map(|s| s.key.clone()).collect();
         for key in new.difference(&old) {
-            self.note(Happening::GroupComplete {
+            self.note(TimelineEvent::GroupComplete {
                 group: key.group.clone(),
                 epoch: key.epoch,
             });
         }
         for key in old.difference(&new) {
-            self.note(Happening::GroupBroken {
+            self.note(TimelineEvent::GroupBroken {
                 group: key.group.clone(),
                 epoch: key.epoch,
             });
--- a/crates/thistlesill-policy/src/router/core/sending.rs
+++ b/crates/thistlesill-policy/src/router/core/sending.rs
@@ -1,6 +1,6 @@
 //! Sending what waits, in the order of fair shares.
 
-use thistlesill_core::timeline::Happening;
+use thistlesill_core::timeline::TimelineEvent;
 use thistlesill_core::{ErrorKind, Millis, RequestId};
 
 use super::{HARDLY, RouterCore};
@@ -116,7 +116,7 @@
         if let Some(load) = self.loads.get_mut(&server.key) {
             load.sent(prefix, now);
         }
-        self.note(Happening::Sent {
+        self.note(TimelineEvent::Sent {
             request: id,
             group: server.key.group.clone(),
             epoch: server.key.epoch,
--- a/crates/thistlesill-policy/src/serving.rs
+++ b/crates/thistlesill-policy/src/serving.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
-use thistlesill_core::message::Seen;
+use thistlesill_core::message::ObservedState;
 use thistlesill_core::report::{Load, Membership};
 use thistlesill_core::{DomainId, Generation, GroupId, HallId, InstanceId, Millis, ServiceName};
 
@@ -131,15 +131,15 @@
     let mut groups: BTreeMap<GroupKey, Vec<(&Membership, &Observed)>> = BTreeMap::new();
     for seen in observed.values() {
         match &seen.sighting.state {
-            Seen::Service(name) => roster.servers.extend(service(name, seen, now)),
-            Seen::Loading(m) | Seen::Ready(m) | Seen::Draining(m) => {
+            ObservedState::Service(name) => roster.servers.extend(service(name, seen, now)),
+            ObservedState::Loading(m) | ObservedState::Ready(m) | ObservedState::Draining(m) => {
                 let key = GroupKey {
                     group: m.group.clone(),
                     epoch: m.epoch,
                 };
                 groups.entry(key).or_default().push((m, seen));
             }
-            Seen::Lost | Seen::Idle => {}
+            ObservedState::Lost | ObservedState::Idle => {}
         }
     }
     for (key, members) in groups {
@@ -192,9 +192,9 @@
             lacks.push(Lack::Leaving { instance });
         } else if seen.until <= now {
             lacks.push(Lack::Stale { instance });
-        } else if matches!(seen.sighting.state, Seen::Loading(_)) {
+        } else if matches!(seen.sighting.state, ObservedState::Loading(_)) {
             lacks.push(Lack::Loading { instance });
-        } else if matches!(seen.sighting.state, Seen::Draining(_)) {
+        } else if matches!(seen.sighting.state, ObservedState::Draining(_)) {
             lacks.push(Lack::Draining { instance });
         }
     }
--- a/crates/thistlesill-policy/src/share.rs
+++ b/crates/thistlesill-policy/src/share.rs
@@ -7,7 +7,7 @@
 
 use std::collections::BTreeMap;
 
-use thistlesill_core::message::{CustomerUse, Usage};
+use thistlesill_core::message::{CustomerUsage, Usage};
 use thistlesill_core::{CustomerId, Millis, NodeId, RequestId};
 
 /// How long another router's usage counts without news.
@@ -180,7 +180,7 @@
         let busy = self.lines.iter().filter(|(_, l)| l.running > 0);
         Usage {
             customers: busy
-                .map(|(customer, line)| CustomerUse {
+                .map(|(customer, line)| CustomerUsage {
                     customer: customer.clone(),
                     running: line.running,
                 })
--- a/crates/thistlesill-policy/tests/answers.rs
+++ b/crates/thistlesill-policy/tests/answers.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use thistlesill_core::error::Ran;
-use thistlesill_core::message::{Beat, Seen, Sighting};
+use thistlesill_core::message::{Heartbeat, ObservedState, Sighting};
 use thistlesill_core::report::{Load, Membership};
 use thistlesill_core::settings::{Branch, Tree};
 use thistlesill_core::{ErrorKind, Millis, RequestId};
@@ -30,7 +30,7 @@
         address: SocketAddr::from((Ipv4Addr::LOCALHOST, 1_000 + n as u16)),
         incarnation: 1,
         leaving: false,
-        state: Seen::Ready(Membership {
+        state: ObservedState::Ready(Membership {
             group: format!("g{n}").into(),
             epoch: 7,
             rank: 0,
@@ -65,7 +65,7 @@
     let mut core = RouterCore::new(options).expect("sound charts");
     let tree = Tree::new(1, [("/".to_owned(), root)].into());
     core.step(RouterEvent::Settings(Arc::new(tree)), NOW);
-    let beat = Beat {
+    let beat = Heartbeat {
         seq: 1,
         run: 1,
         oldest: Millis::ZERO,
--- a/crates/thistlesill-policy/tests/edge/admission.rs
+++ b/crates/thistlesill-policy/tests/edge/admission.rs
@@ -2,7 +2,7 @@
 
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
-use thistlesill_core::edge::{Bounds, Catalog, Limits, Route, RouteKind, Service, TargetShare};
+use thistlesill_core::edge::{Bounds, Catalog, Limits, Route, RouteKind, Service, ServiceShare};
 use thistlesill_core::{ErrorKind, Millis};
 use thistlesill_policy::edge::admission::{Asking, Key, Passage, admit, may_still_take};
 use thistlesill_policy::edge::freshness::{Freshness, MARGIN};
@@ -25,7 +25,7 @@
     Route {
         name: name.into(),
         prefix: prefix.into(),
-        shares: vec![TargetShare {
+        shares: vec![ServiceShare {
             service: "s".into(),
             weight: 1,
         }],
--- a/crates/thistlesill-policy/tests/lease.rs
+++ b/crates/thistlesill-policy/tests/lease.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use thistlesill_core::Millis;
-use thistlesill_core::message::{Beat, Seen, Sighting};
+use thistlesill_core::message::{Heartbeat, ObservedState, Sighting};
 use thistlesill_core::settings::{Branch, Shape, Tree};
 use thistlesill_core::table::{Read, RowKey, Rows, Txn, TxnReply, TxnResult};
 use thistlesill_fakes::Table;
@@ -250,13 +250,13 @@
         address: SocketAddr::from((Ipv4Addr::LOCALHOST, 1)),
         incarnation: 1,
         leaving: false,
-        state: Seen::Idle,
+        state: ObservedState::Idle,
     }
 }
 
 /// A view that is fresh at `now`.
 fn view(now: Millis) -> View {
-    let beat = Beat {
+    let beat = Heartbeat {
         seq: 1,
         run: 1,
         oldest: Millis::ZERO,
--- a/crates/thistlesill-replay/src/slopes/cores.rs
+++ b/crates/thistlesill-replay/src/slopes/cores.rs
@@ -3,8 +3,8 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
 
-use thistlesill_core::message::{Beat, Seen, Sighting};
-use thistlesill_core::report::{Duty, Listed, Load, Membership, Pressure, Report};
+use thistlesill_core::message::{Heartbeat, ObservedState, Sighting};
+use thistlesill_core::report::{Duty, ListedInstance, Load, Membership, Pressure, Report};
 use thistlesill_core::settings::{Branch, Shape, Tree};
 use thistlesill_core::{InstanceId, Millis, RequestId};
 use thistlesill_policy::pick::Rule;
@@ -110,13 +110,13 @@
         address: address(n),
         incarnation: 1,
         leaving: false,
-        state: Seen::Ready(membership(n)),
+        state: ObservedState::Ready(membership(n)),
     }
 }
 
 /// A beat of a watcher.
-pub(super) fn beat(seq: u64, changes: u64, changed: Vec<Sighting>) -> Beat {
-    Beat {
+pub(super) fn beat(seq: u64, changes: u64, changed: Vec<Sighting>) -> Heartbeat {
+    Heartbeat {
         seq,
         run: 1,
         oldest: Millis::new(500),
@@ -251,8 +251,8 @@
     })
 }
 
-fn listed(n: usize) -> Listed {
-    Listed {
+fn listed(n: usize) -> ListedInstance {
+    ListedInstance {
         instance: instance(n),
         region: "r".into(),
         hall: "hall".into(),
@@ -280,7 +280,7 @@
 
 fn watch(count: usize) -> Watch {
     let mut watch = Watch::new(1, WatchPeriods::new(Millis::new(1_000)));
-    let mine: Vec<Listed> = (0..count).map(listed).collect();
+    let mine: Vec<ListedInstance> = (0..count).map(listed).collect();
     watch.assign(&mine, NOW);
     for n in 0..count {
         watch.reported(report(n), NOW, NOW);
--- a/crates/thistlesill-replay/src/slopes/messages.rs
+++ b/crates/thistlesill-replay/src/slopes/messages.rs
@@ -1,6 +1,6 @@
 //! Bytes of messages between daemons, and the time to seal and open them.
 
-use thistlesill_core::message::{CustomerUse, Datagram, Gauge, PeerBody, Usage};
+use thistlesill_core::message::{CustomerUsage, Datagram, Gauge, PeerBody, Usage};
 use thistlesill_core::report::{CacheEvent, Pressure};
 use thistlesill_core::seal::SharedKey;
 use thistlesill_core::{Millis, Stamp};
@@ -19,7 +19,7 @@
             PeerBody::Beat(beat)
         }),
         bytes("usage: customers", "customer", &[0, 10, 100], |n| {
-            let customers = (0..n).map(|n| CustomerUse {
+            let customers = (0..n).map(|n| CustomerUsage {
                 customer: format!("customer-{n:03}").into(),
                 running: 5,
             });
--- a/crates/thistlesill-replay/src/stage.rs
+++ b/crates/thistlesill-replay/src/stage.rs
@@ -14,8 +14,8 @@
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
-use thistlesill_core::message::{Beat, Digest, Fatal, Usage};
-use thistlesill_core::report::{Listed, Load, Membership, Order};
+use thistlesill_core::message::{Digest, Fatal, Heartbeat, Usage};
+use thistlesill_core::report::{ListedInstance, Load, Membership, Order};
 use thistlesill_core::settings::Tree;
 use thistlesill_core::time::HybridClock;
 use thistlesill_core::timeline::Record;
@@ -68,7 +68,7 @@
     /// The region.
     pub region: RegionId,
     /// The instances.
-    pub places: Vec<Listed>,
+    pub places: Vec<ListedInstance>,
     /// The settings.
     pub tree: Arc<Tree>,
     /// A planner for each.
@@ -130,7 +130,7 @@
 
 #[derive(Debug, Clone)]
 enum Mail {
-    Beat(NodeId, Beat, Millis),
+    Beat(NodeId, Heartbeat, Millis),
     Digest(NodeId, Digest, Millis),
     Usage(NodeId, Usage),
     Fatal(Fatal),
@@ -139,7 +139,7 @@
 
 struct Body {
     target: Target,
-    place: Listed,
+    place: ListedInstance,
     power: Power,
     loading: Option<(Millis, Membership)>,
     warming: Option<(Millis, Load)>,
@@ -152,7 +152,7 @@
     now: Millis,
     table: Table,
     mode: TableMode,
-    listed: Vec<Listed>,
+    listed: Vec<ListedInstance>,
     frozen: bool,
     leaving: BTreeSet<InstanceId>,
     bodies: BTreeMap<InstanceId, Body>,
--- a/crates/thistlesill-replay/src/stage/daemons.rs
+++ b/crates/thistlesill-replay/src/stage/daemons.rs
@@ -1,6 +1,6 @@
 //! The daemons: their cores stepped, their actions carried out.
 
-use thistlesill_core::timeline::{Happening, Record};
+use thistlesill_core::timeline::{Record, TimelineEvent};
 use thistlesill_policy::planner::{PlannerAction, PlannerEvent};
 use thistlesill_policy::router::{RouterAction, RouterEvent};
 
@@ -119,8 +119,8 @@
     }
 
     /// Counts what the router notes of attempts.
-    pub(super) fn note_request(&mut self, what: &Happening) {
-        if let Happening::Sent { attempt, .. } = what {
+    pub(super) fn note_request(&mut self, what: &TimelineEvent) {
+        if let TimelineEvent::Sent { attempt, .. } = what {
             self.tally.attempts += 1;
             self.tally.retries += u64::from(*attempt > 1);
         }
--- a/crates/thistlesill-replay/src/stage/mail.rs
+++ b/crates/thistlesill-replay/src/stage/mail.rs
@@ -1,6 +1,6 @@
 //! Mail between daemons; one that stands still reads it later.
 
-use thistlesill_core::message::Beat;
+use thistlesill_core::message::Heartbeat;
 use thistlesill_core::{Millis, NodeId};
 use thistlesill_policy::planner::PlannerEvent;
 use thistlesill_policy::router::RouterEvent;
@@ -8,7 +8,7 @@
 use super::{Mail, Power, Stage};
 
 impl Stage {
-    pub(super) fn tell_beat(&mut self, n: usize, beat: &Beat) {
+    pub(super) fn tell_beat(&mut self, n: usize, beat: &Heartbeat) {
         let from = self.planners[n].seat.name.clone();
         if self.planners[n].cut {
             return;
--- a/crates/thistlesill-replay/tests/it/groups.rs
+++ b/crates/thistlesill-replay/tests/it/groups.rs
@@ -1,6 +1,6 @@
 //! No serving group answers requests unless all its instances are present.
 
-use thistlesill_core::message::{Beat, Seen, Sighting};
+use thistlesill_core::message::{Heartbeat, ObservedState, Sighting};
 use thistlesill_core::report::{Load, Membership};
 use thistlesill_core::{GroupId, Millis};
 use thistlesill_policy::presence::{Heard, View};
@@ -223,7 +223,7 @@
         address: listed.address,
         incarnation,
         leaving: false,
-        state: Seen::Ready(Membership {
+        state: ObservedState::Ready(Membership {
             group: "g".into(),
             epoch: 1,
             rank,
@@ -233,8 +233,8 @@
     }
 }
 
-fn beat(seq: u64, changes: u64, changed: Vec<Sighting>) -> Beat {
-    Beat {
+fn beat(seq: u64, changes: u64, changed: Vec<Sighting>) -> Heartbeat {
+    Heartbeat {
         seq,
         run: 1,
         oldest: Millis::ZERO,
--- a/crates/thistlesill-replay/tests/it/instances.rs
+++ b/crates/thistlesill-replay/tests/it/instances.rs
@@ -4,7 +4,7 @@
 
 use thistlesill_core::row::{GroupRow, Held, InstanceRow, plan_prefix};
 use thistlesill_core::table::Read;
-use thistlesill_core::timeline::Happening;
+use thistlesill_core::timeline::TimelineEvent;
 use thistlesill_core::{GroupId, InstanceId, Millis};
 use thistlesill_replay::stage::{Power, Stage, TableMode};
 
@@ -96,7 +96,7 @@
     assert!(wait(&mut stage, 10_000, |s| {
         s.records()
             .iter()
-            .any(|r| matches!(r.what, Happening::Ordered { .. }))
+            .any(|r| matches!(r.what, TimelineEvent::Ordered { .. }))
     }));
     let first = holder(&stage);
     stage.planner_power(first, Power::Paused);
--- a/crates/thistlesill-replay/tests/it/requests.rs
+++ b/crates/thistlesill-replay/tests/it/requests.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeSet;
 
-use thistlesill_core::timeline::Happening;
+use thistlesill_core::timeline::TimelineEvent;
 use thistlesill_core::{CustomerId, ErrorKind, Millis, RequestId};
 use thistlesill_policy::router::Arrival;
 use thistlesill_policy::serving::GroupKey;
@@ -178,7 +178,7 @@
 /// The groups that a request was sent to.
 fn groups_that_got(stage: &Stage, request: RequestId) -> Vec<GroupKey> {
     let sent = stage.records().iter().filter_map(|r| match &r.what {
-        Happening::Sent {
+        TimelineEvent::Sent {
             request: of,
             group,
             epoch,
--- a/crates/thistlesill-replay/tests/it/settings.rs
+++ b/crates/thistlesill-replay/tests/it/settings.rs
@@ -1,7 +1,7 @@
 //! An accepted settings change is in force and never reverts.
 
 use thistlesill_core::Millis;
-use thistlesill_core::timeline::Happening;
+use thistlesill_core::timeline::TimelineEvent;
 use thistlesill_policy::pick::Rule;
 use thistlesill_policy::router::{RouterCore, RouterEvent, RouterOptions};
 use thistlesill_replay::stage::Power;
@@ -33,7 +33,7 @@
     stage.router_power(0, Power::On);
     let mut last = std::collections::BTreeMap::new();
     for record in stage.records() {
-        if let Happening::SettingsInForce { revision } = record.what {
+        if let TimelineEvent::SettingsInForce { revision } = record.what {
             let before = last.insert(record.node.clone(), revision).unwrap_or(0);
             // A daemon that starts anew begins again, from what it is given.
             let restarted = record.node.as_str() == "r0" && revision == 9;
--- a/crates/thistlesill-replay/tests/it/support.rs
+++ b/crates/thistlesill-replay/tests/it/support.rs
@@ -4,9 +4,9 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
 
-use thistlesill_core::report::Listed;
+use thistlesill_core::report::ListedInstance;
 use thistlesill_core::settings::{Branch, Cover, Shape, Tree};
-use thistlesill_core::timeline::Happening;
+use thistlesill_core::timeline::TimelineEvent;
 use thistlesill_core::{GroupId, Millis, RequestId};
 use thistlesill_policy::pick::Rule;
 use thistlesill_policy::plan::Strategy;
@@ -17,8 +17,8 @@
 pub(crate) const WINDOW: Millis = Millis::new(4_000);
 
 /// An instance of hall `h` in a domain.
-pub(crate) fn place(domain: &str, n: u32) -> Listed {
-    Listed {
+pub(crate) fn place(domain: &str, n: u32) -> ListedInstance {
+    ListedInstance {
         instance: format!("{domain}-{n:02}").into(),
         region: "r".into(),
         hall: "h".into(),
@@ -150,7 +150,7 @@
     let records = stage.records().iter();
     records
         .filter_map(|r| match &r.what {
-            Happening::Sent { group, .. } => {
+            TimelineEvent::Sent { group, .. } => {
                 let at = Millis::new(r.stamp.wall) - zero;
                 (at >= since).then(|| (group.clone(), at))
             }
--- a/crates/thistlesill-standins/src/fleet.rs
+++ b/crates/thistlesill-standins/src/fleet.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 
-use thistlesill_core::report::Listed;
+use thistlesill_core::report::ListedInstance;
 use thistlesill_core::seal::SharedKey;
 use thistlesill_core::{DomainId, InstanceId};
 use thistlesill_fakes::FleetFile;
@@ -22,7 +22,7 @@
     /// The platform.
     pub platform: PlatformState,
     engines: HashMap<InstanceId, Arc<Engine>>,
-    places: Vec<Listed>,
+    places: Vec<ListedInstance>,
     truth: Mutex<HashMap<InstanceId, bool>>,
     frozen: Mutex<bool>,
 }
@@ -70,7 +70,7 @@
     }
 
     /// All instances.
-    pub fn places(&self) -> &[Listed] {
+    pub fn places(&self) -> &[ListedInstance] {
         &self.places
     }
 
--- a/crates/thistlesill-standins/src/platform.rs
+++ b/crates/thistlesill-standins/src/platform.rs
@@ -9,7 +9,7 @@
 use salvo::prelude::{Depot, FlowCtrl, Request, Response, Router, handler};
 use salvo::writing::Json;
 use serde::{Deserialize, Serialize};
-use thistlesill_core::report::Listed;
+use thistlesill_core::report::ListedInstance;
 use thistlesill_core::table::{Read, Txn};
 use thistlesill_fakes::Table;
 
@@ -28,7 +28,7 @@
     /// How the table behaves.
     pub mode: Mutex<TableMode>,
     /// The list as it is read.
-    pub listed: Mutex<Vec<Listed>>,
+    pub listed: Mutex<Vec<ListedInstance>>,
     objects: Mutex<HashMap<String, Vec<u8>>>,
 }
 
--- a/crates/thistlesill-standins/tests/it/intruders.rs
+++ b/crates/thistlesill-standins/tests/it/intruders.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use thistlesill_core::config::Role;
-use thistlesill_core::message::{Datagram, PeerBody, StreamAsk};
+use thistlesill_core::message::{Datagram, PeerBody, StreamRequest};
 use thistlesill_core::report::{Fence, Order, Task};
 use thistlesill_core::seal::SharedKey;
 use thistlesill_core::{ErrorKind, Stamp};
@@ -125,7 +125,7 @@
         socket.send_to(&vec![7; length], peer).await.expect("sent");
     }
     let mut frame = Vec::new();
-    let ask = stranger.seal(&StreamAsk::Settings { have: 0 });
+    let ask = stranger.seal(&StreamRequest::Settings { have: 0 });
     frame.extend_from_slice(&u32::try_from(ask.len()).expect("short").to_be_bytes());
     frame.extend_from_slice(&ask);
     let answer = raw(peer, &frame, Duration::from_secs(8)).await;
