--- a/crates/thistlesill-core/src/settings/tree.rs
+++ b/crates/thistlesill-core/src/settings/tree.rs
@@ -254,8 +254,8 @@
         Self::new(revision, branches)
     }
 
-    /// Returns whether `revision` is newer than this tree's: only then may a tree of that
-    /// revision replace this one.
+    /// Returns whether this tree is older than `revision`: only then may a tree of that revision
+    /// replace this one.
     pub const fn is_older_than(&self, revision: u64) -> bool {
         revision > self.revision
     }
