--- a/crates/thistlesill-policy/src/charts.rs
+++ b/crates/thistlesill-policy/src/charts.rs
@@ -140,7 +140,7 @@
         /// All members took their orders.
         Taken = "taken",
         /// All members are ready.
-        Whole = "whole",
+        Complete = "whole",
         /// It is to stop without cutting streams.
         Drain = "drain",
         /// No streams are left, or their time is up.
--- a/crates/thistlesill-policy/src/claim.rs
+++ b/crates/thistlesill-policy/src/claim.rs
@@ -1,9 +1,8 @@
-//! Claims: how a request that may run once only gets hold of its key.
+//! Claims on idempotency keys, for requests that may run at most once.
 //!
-//! A claim is a row inserted on condition of absence, before the first byte
-//! goes to a target. Claims that wait while a transaction is under way share
-//! the next one, so the number of transactions is bounded by their round
-//! trips and not by the number of requests.
+//! A claim is a row that is inserted on condition that it is absent, before the first byte goes to
+//! a target. Claims that wait while a transaction is in flight share the next one, so the number of
+//! transactions is bounded by their round-trip time and not by the number of requests.
 
 mod settle;
 
@@ -16,96 +15,96 @@
 
 use crate::charts::{ClaimEvent, ClaimState};
 
-/// Claims in one transaction at most.
+/// The maximum number of claims in one transaction.
 pub const MAX_BATCH: usize = 64;
-/// Transactions under way at a time, at most.
-const MAX_FLIGHTS: usize = 2;
-/// How long a claim may take before it is given up.
-const CLAIM_LIMIT: Millis = Millis::new(2_000);
-/// Between two reads of rows that are in doubt.
-const READ_GAP: Millis = Millis::new(100);
-/// Outcomes and removals that wait for the store, at most.
-const MAX_SETTLING: usize = 4_096;
-
-/// What a request wants to claim.
+/// The maximum number of claim transactions in flight.
+const MAX_CLAIM_FLIGHTS: usize = 2;
+/// How long a claim may stay undecided before it is given up.
+const CLAIM_TIMEOUT: Millis = Millis::new(2_000);
+/// The minimum interval between two reads of the rows that decide [`ClaimState::Unsure`] claims.
+const READ_BACK_INTERVAL: Millis = Millis::new(100);
+/// The maximum number of follow-up operations that wait for the store.
+const MAX_FOLLOW_UPS: usize = 4_096;
+
+/// A request and the idempotency key that it claims.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClaimAsk {
     /// The request.
     pub request: RequestId,
-    /// Its customer; keys of different customers never meet.
+    /// The request's customer; the same key of two customers makes two independent claims.
     pub customer: CustomerId,
     /// The idempotency key.
     pub key: String,
-    /// SHA-256 of the body.
+    /// The SHA-256 of the request body.
     pub body: String,
 }
 
-/// How a claim ended.
+/// The result of a claim.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Verdict {
-    /// The key is ours: the request may be sent, once.
+    /// The request owns the key and may be sent, once.
     Granted,
     /// Another request holds the key and has no outcome yet.
     Held,
-    /// Another request with another body holds the key.
+    /// Another request with a different body holds the key.
     Reused,
     /// An earlier request with the same body ended with this outcome.
     Recorded(Outcome),
-    /// The store is out of reach: the request must not be sent.
+    /// The store is unreachable, so the request must not be sent.
     Down,
 }
 
-/// What to do for the claims now.
+/// What the caller has to do next for the claims.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimStep {
-    /// Send a transaction and report its result under this number.
+    /// Send a transaction and pass its result to [`ClaimBook::done`].
     Send {
-        /// Names the transaction.
+        /// Identifies the transaction.
         flight: u64,
-        /// The transaction.
+        /// The transaction to send.
         txn: Txn,
     },
-    /// Read rows and report them under this number.
+    /// Read rows and pass them to [`ClaimBook::rows`].
     Read {
-        /// Names the read.
+        /// Identifies the read.
         flight: u64,
-        /// Exact keys.
+        /// The exact keys of the rows to read.
         keys: Vec<RowKey>,
     },
-    /// A claim ended.
+    /// A claim has been decided.
     Decide {
-        /// The request.
+        /// The request whose claim was decided.
         request: RequestId,
-        /// How.
+        /// The result of its claim.
         verdict: Verdict,
     },
 }
 
 #[derive(Debug, Clone)]
 struct Entry {
-    ask: ClaimAsk,
+    params: ClaimAsk,
     row_key: RowKey,
     state: ClaimState,
     since: Millis,
     version: u64,
 }
 
-/// What is still to be written or looked for after a request has its answer.
+/// An operation on the store that remains after a request has been answered.
 #[derive(Debug, Clone)]
-enum Settling {
-    /// Record an outcome.
+enum FollowUp {
+    /// Write an outcome into the claim row.
     Record { entry: Entry, outcome: Outcome },
-    /// Remove the row of a request that was claimed and did not run.
+    /// Remove the row of a request that was granted its key and did not run.
     Remove { entry: Entry },
-    /// Look for the row of a claim that was given up in doubt.
-    Look { entry: Entry, looks: u32 },
+    /// Look for the row of a claim that was given up while the result of its write was unknown.
+    Lookup { entry: Entry, attempts: u32 },
 }
 
 #[derive(Debug, Clone)]
 enum Flight {
     Claims(Vec<RequestId>),
-    Doubts(Vec<RequestId>),
-    Settle(Box<Settling>),
+    ReadBack(Vec<RequestId>),
+    FollowUp(Box<FollowUp>),
 }
 
 /// The claims of one router.
@@ -118,14 +117,14 @@
     flights: HashMap<u64, Flight>,
     next_flight: u64,
     last_read: Option<Millis>,
-    settling: VecDeque<Settling>,
-    settled: Option<Millis>,
+    follow_ups: VecDeque<FollowUp>,
+    last_follow_up: Option<Millis>,
     transactions: u64,
-    claims: u64,
+    granted: u64,
 }
 
 impl ClaimBook {
-    /// A book without claims.
+    /// Creates a router's state without claims; `me` is the router's name.
     pub fn new(chart: Chart<ClaimState, ClaimEvent>, me: NodeId) -> Self {
         Self {
             chart,
@@ -135,77 +134,80 @@
             flights: HashMap::new(),
             next_flight: 0,
             last_read: None,
-            settling: VecDeque::new(),
-            settled: None,
+            follow_ups: VecDeque::new(),
+            last_follow_up: None,
             transactions: 0,
-            claims: 0,
+            granted: 0,
         }
     }
 
-    /// Claims granted and transactions sent so far.
+    /// Returns the numbers of claims granted and of transactions sent so far.
     pub const fn counts(&self) -> (u64, u64) {
-        (self.claims, self.transactions)
+        (self.granted, self.transactions)
     }
 
-    /// Whether outcomes or removals still wait for the store.
+    /// Returns whether no operation is waiting for the store or in flight.
     pub fn is_settled(&self) -> bool {
-        self.settling.is_empty() && self.flights.is_empty()
+        self.follow_ups.is_empty() && self.flights.is_empty()
     }
 
     /// Begins a claim.
     ///
-    /// Two requests with one key at the same router never share a
-    /// transaction: the second one is decided here.
-    pub fn ask(&mut self, ask: ClaimAsk, now: Millis) -> Vec<ClaimStep> {
-        let row_key: RowKey = claim_key(&ask.customer, &ask.key).into();
+    /// Two requests with the same key at one router never share a transaction: the second request
+    /// is decided here, from the first one's claim.
+    pub fn ask(&mut self, params: ClaimAsk, now: Millis) -> Vec<ClaimStep> {
+        let row_key: RowKey = claim_key(&params.customer, &params.key).into();
         if let Some(holder) = self.keys.get(&row_key).and_then(|r| self.entries.get(r)) {
-            let verdict = if holder.ask.body == ask.body {
+            let verdict = if holder.params.body == params.body {
                 Verdict::Held
             } else {
                 Verdict::Reused
             };
-            return vec![decide(ask.request, verdict)];
+            return vec![decide(params.request, verdict)];
         }
-        self.keys.insert(row_key.clone(), ask.request);
+        self.keys.insert(row_key.clone(), params.request);
         let entry = Entry {
             row_key,
             state: self.chart.start(),
             since: now,
             version: 0,
-            ask,
+            params,
         };
-        self.entries.insert(entry.ask.request, entry);
+        self.entries.insert(entry.params.request, entry);
         self.flush()
     }
 
-    /// Looks at the time.
+    /// Advances to `now`: gives up claims that took too long and starts the operations that are
+    /// due.
     pub fn tick(&mut self, now: Millis) -> Vec<ClaimStep> {
-        let mut steps = self.give_up_late(now);
+        let mut steps = self.give_up_expired(now);
         steps.extend(self.flush());
-        steps.extend(self.read_doubts(now));
-        steps.extend(self.settle(now));
+        steps.extend(self.read_back(now));
+        steps.extend(self.start_follow_up(now));
         steps
     }
 
-    /// Takes in what became of a transaction.
+    /// Applies the result of the transaction that `flight` identifies.
     pub fn done(&mut self, flight: u64, result: &TxnResult) -> Vec<ClaimStep> {
         let steps = match self.flights.remove(&flight) {
             Some(Flight::Claims(requests)) => self.claims_done(&requests, result),
-            Some(Flight::Settle(settling)) => {
-                self.settle_done(*settling, result);
+            Some(Flight::FollowUp(follow_up)) => {
+                self.write_done(*follow_up, result);
                 Vec::new()
             }
-            Some(Flight::Doubts(_)) | None => Vec::new(),
+            Some(Flight::ReadBack(_)) | None => Vec::new(),
         };
         [steps, self.flush()].concat()
     }
 
-    /// Takes in rows that were read; `None` if the read failed.
+    /// Applies the rows that were read for `flight`; `rows` is `None` if the read failed.
     pub fn rows(&mut self, flight: u64, rows: Option<&Rows>) -> Vec<ClaimStep> {
         let steps = match (self.flights.remove(&flight), rows) {
-            (Some(Flight::Doubts(requests)), Some(rows)) => self.resolve_doubts(&requests, rows),
-            (Some(Flight::Settle(settling)), rows) => {
-                self.look_done(*settling, rows);
+            (Some(Flight::ReadBack(requests)), Some(rows)) => {
+                self.resolve_read_back(&requests, rows)
+            }
+            (Some(Flight::FollowUp(follow_up)), rows) => {
+                self.lookup_done(*follow_up, rows);
                 Vec::new()
             }
             _ => Vec::new(),
@@ -213,43 +215,43 @@
         [steps, self.flush()].concat()
     }
 
-    /// Records how a granted request ended.
+    /// Records the outcome of a granted request.
     pub fn finish(&mut self, request: RequestId, outcome: Outcome) {
-        if let Some(entry) = self.take(request) {
-            self.push_settling(Settling::Record { entry, outcome });
+        if let Some(entry) = self.remove_entry(request) {
+            self.push_follow_up(FollowUp::Record { entry, outcome });
         }
     }
 
-    /// Gives the key of a granted request back: it provably did not run.
+    /// Releases the key of a granted request that provably did not run.
     pub fn release(&mut self, request: RequestId) {
-        if let Some(entry) = self.take(request) {
-            self.push_settling(Settling::Remove { entry });
+        if let Some(entry) = self.remove_entry(request) {
+            self.push_follow_up(FollowUp::Remove { entry });
         }
     }
 
-    /// Leaves the row as it is: the request may have run, and its key must
+    /// Ends a granted claim and leaves its row as it is: the request may have run, and its key must
     /// never be granted again.
     pub fn abandon(&mut self, request: RequestId) {
-        self.take(request);
+        self.remove_entry(request);
     }
 
-    /// Gives up a claim that is not decided yet: its caller went away.
+    /// Gives up a claim that is not decided yet because its caller disconnected.
     pub fn withdraw(&mut self, request: RequestId) {
-        let Some(entry) = self.take(request) else {
+        let Some(entry) = self.remove_entry(request) else {
             return;
         };
         self.give_up_entry(entry);
     }
 
-    fn take(&mut self, request: RequestId) -> Option<Entry> {
+    fn remove_entry(&mut self, request: RequestId) -> Option<Entry> {
         let entry = self.entries.remove(&request)?;
         self.keys.remove(&entry.row_key);
         Some(entry)
     }
 
-    fn push_settling(&mut self, settling: Settling) {
-        if self.settling.len() < MAX_SETTLING {
-            self.settling.push_back(settling);
+    fn push_follow_up(&mut self, follow_up: FollowUp) {
+        if self.follow_ups.len() < MAX_FOLLOW_UPS {
+            self.follow_ups.push_back(follow_up);
         }
     }
 
@@ -260,7 +262,7 @@
         Some(next)
     }
 
-    fn flight(&mut self, flight: Flight) -> u64 {
+    fn start_flight(&mut self, flight: Flight) -> u64 {
         self.next_flight += 1;
         self.flights.insert(self.next_flight, flight);
         self.next_flight
@@ -271,15 +273,15 @@
         list.filter(|f| matches!(f, Flight::Claims(_))).count()
     }
 
-    /// Sends waiting claims, as many as fit into one transaction.
+    /// Sends the waiting claims, as many as fit into one transaction.
     fn flush(&mut self) -> Vec<ClaimStep> {
-        if self.claim_flights() >= MAX_FLIGHTS {
+        if self.claim_flights() >= MAX_CLAIM_FLIGHTS {
             return Vec::new();
         }
         let waiting = self.entries.values();
         let batch: Vec<RequestId> = waiting
             .filter(|e| e.state == ClaimState::Waiting)
-            .map(|e| e.ask.request)
+            .map(|e| e.params.request)
             .take(MAX_BATCH)
             .collect();
         if batch.is_empty() {
@@ -297,15 +299,15 @@
                 .put(entry.row_key.clone(), &row);
         }
         self.transactions += 1;
-        let flight = self.flight(Flight::Claims(batch));
+        let flight = self.start_flight(Flight::Claims(batch));
         vec![ClaimStep::Send { flight, txn }]
     }
 
     fn row(&self, entry: &Entry, outcome: Option<Outcome>) -> ClaimRow {
         ClaimRow {
-            request: entry.ask.request,
+            request: entry.params.request,
             router: self.me.clone(),
-            body: entry.ask.body.clone(),
+            body: entry.params.body.clone(),
             outcome,
         }
     }
@@ -327,8 +329,8 @@
         steps
     }
 
-    /// After a refusal nothing was written: only the rows that failed are in
-    /// doubt, the others go into the next transaction.
+    /// Handles a refused transaction, which wrote nothing: the rows that failed their guards must
+    /// be read, and all other claims go into the next transaction.
     fn refused(&mut self, request: RequestId, failed: &[RowKey]) {
         let Some(entry) = self.entries.get(&request) else {
             return;
@@ -345,36 +347,36 @@
         if state != ClaimState::Granted {
             return None;
         }
-        self.claims += 1;
+        self.granted += 1;
         self.entries.get_mut(&request)?.version = version;
         Some(decide(request, Verdict::Granted))
     }
 
-    fn read_doubts(&mut self, now: Millis) -> Vec<ClaimStep> {
-        let recent = self.last_read.is_some_and(|t| now - t < READ_GAP);
+    fn read_back(&mut self, now: Millis) -> Vec<ClaimStep> {
+        let recent = self.last_read.is_some_and(|t| now - t < READ_BACK_INTERVAL);
         let reading = self
             .flights
             .values()
-            .any(|f| matches!(f, Flight::Doubts(_)));
+            .any(|f| matches!(f, Flight::ReadBack(_)));
         if recent || reading {
             return Vec::new();
         }
         let unsure = self.entries.values();
-        let doubts: Vec<&Entry> = unsure
+        let pending: Vec<&Entry> = unsure
             .filter(|e| e.state == ClaimState::Unsure)
             .take(MAX_BATCH)
             .collect();
-        if doubts.is_empty() {
+        if pending.is_empty() {
             return Vec::new();
         }
-        let keys = doubts.iter().map(|e| e.row_key.clone()).collect();
-        let requests = doubts.iter().map(|e| e.ask.request).collect();
+        let keys = pending.iter().map(|e| e.row_key.clone()).collect();
+        let requests = pending.iter().map(|e| e.params.request).collect();
         self.last_read = Some(now);
-        let flight = self.flight(Flight::Doubts(requests));
+        let flight = self.start_flight(Flight::ReadBack(requests));
         vec![ClaimStep::Read { flight, keys }]
     }
 
-    fn resolve_doubts(&mut self, requests: &[RequestId], rows: &Rows) -> Vec<ClaimStep> {
+    fn resolve_read_back(&mut self, requests: &[RequestId], rows: &Rows) -> Vec<ClaimStep> {
         let mut steps = Vec::new();
         for request in requests {
             let Some(entry) = self.entries.get(request) else {
@@ -397,9 +399,9 @@
 
     fn taken(&mut self, request: RequestId, claim: Option<ClaimRow>) -> Option<ClaimStep> {
         self.apply(request, ClaimEvent::Other)?;
-        let entry = self.take(request)?;
+        let entry = self.remove_entry(request)?;
         let verdict = match claim {
-            Some(c) if c.body != entry.ask.body => Verdict::Reused,
+            Some(c) if c.body != entry.params.body => Verdict::Reused,
             Some(ClaimRow {
                 outcome: Some(outcome),
                 ..
@@ -409,7 +411,7 @@
         Some(decide(request, verdict))
     }
 
-    fn give_up_late(&mut self, now: Millis) -> Vec<ClaimStep> {
+    fn give_up_expired(&mut self, now: Millis) -> Vec<ClaimStep> {
         let open = |e: &Entry| {
             matches!(
                 e.state,
@@ -417,13 +419,13 @@
             )
         };
         let entries = self.entries.values();
-        let late: Vec<RequestId> = entries
-            .filter(|e| open(e) && now - e.since >= CLAIM_LIMIT)
-            .map(|e| e.ask.request)
+        let expired: Vec<RequestId> = entries
+            .filter(|e| open(e) && now - e.since >= CLAIM_TIMEOUT)
+            .map(|e| e.params.request)
             .collect();
         let mut steps = Vec::new();
-        for request in late {
-            if let Some(entry) = self.take(request) {
+        for request in expired {
+            if let Some(entry) = self.remove_entry(request) {
                 self.give_up_entry(entry);
                 steps.push(decide(request, Verdict::Down));
             }
--- a/crates/thistlesill-policy/src/claim/settle.rs
+++ b/crates/thistlesill-policy/src/claim/settle.rs
@@ -1,55 +1,58 @@
-//! What is written or looked for after a request has its answer.
+//! Writes and reads of claim rows that remain after a request has been answered.
 
 use thistlesill_core::Millis;
 use thistlesill_core::row::ClaimRow;
 use thistlesill_core::table::{Rows, Txn, TxnResult};
 
-use super::{ClaimBook, ClaimStep, Entry, Flight, Settling};
+use super::{ClaimBook, ClaimStep, Entry, Flight, FollowUp};
 use crate::charts::{ClaimEvent, ClaimState};
 
-/// Between two tries to settle what was given up or ended.
-const SETTLE_GAP: Millis = Millis::new(500);
-/// How often a row that was given up in doubt is looked for.
-const MAX_LOOKS: u32 = 20;
+/// The minimum time from one follow-up to the next, unless the next one records an outcome.
+const FOLLOW_UP_INTERVAL: Millis = Millis::new(500);
+/// How often the row of a claim that was given up with an unknown result is looked for.
+const MAX_LOOKUPS: u32 = 20;
 
 impl ClaimBook {
-    /// The row of a given-up claim may be there, or may appear yet.
+    /// Gives up a claim. If its row may have been written, or may still appear, the row is looked
+    /// for and removed.
     pub(super) fn give_up_entry(&mut self, mut entry: Entry) {
         let written = entry.state != ClaimState::Waiting;
         if let Ok(next) = self.chart.step(entry.state, ClaimEvent::GiveUp) {
             entry.state = next;
         }
         if written {
-            self.push_settling(Settling::Look { entry, looks: 0 });
+            self.push_follow_up(FollowUp::Lookup { entry, attempts: 0 });
         }
     }
 
-    pub(super) fn settle(&mut self, now: Millis) -> Vec<ClaimStep> {
-        let recent = self.settled.is_some_and(|t| now - t < SETTLE_GAP);
+    pub(super) fn start_follow_up(&mut self, now: Millis) -> Vec<ClaimStep> {
+        let recent = self
+            .last_follow_up
+            .is_some_and(|t| now - t < FOLLOW_UP_INTERVAL);
         let busy = self
             .flights
             .values()
-            .any(|f| matches!(f, Flight::Settle(_)));
-        if busy || (recent && !matches!(self.settling.front(), Some(Settling::Record { .. }))) {
+            .any(|f| matches!(f, Flight::FollowUp(_)));
+        if busy || (recent && !matches!(self.follow_ups.front(), Some(FollowUp::Record { .. }))) {
             return Vec::new();
         }
-        let Some(next) = self.settling.pop_front() else {
+        let Some(next) = self.follow_ups.pop_front() else {
             return Vec::new();
         };
-        self.settled = Some(now);
+        self.last_follow_up = Some(now);
         let step = match &next {
-            Settling::Record { entry, outcome } => {
+            FollowUp::Record { entry, outcome } => {
                 let row = self.row(entry, Some(outcome.clone()));
                 let txn = Txn::new().at(entry.row_key.clone(), entry.version);
                 Err(txn.put(entry.row_key.clone(), &row))
             }
-            Settling::Remove { entry } => {
+            FollowUp::Remove { entry } => {
                 let txn = Txn::new().at(entry.row_key.clone(), entry.version);
                 Err(txn.delete(entry.row_key.clone()))
             }
-            Settling::Look { entry, .. } => Ok(vec![entry.row_key.clone()]),
+            FollowUp::Lookup { entry, .. } => Ok(vec![entry.row_key.clone()]),
         };
-        let flight = self.flight(Flight::Settle(Box::new(next)));
+        let flight = self.start_flight(Flight::FollowUp(Box::new(next)));
         vec![match step {
             Ok(keys) => ClaimStep::Read { flight, keys },
             Err(txn) => {
@@ -59,29 +62,33 @@
         }]
     }
 
-    pub(super) fn settle_done(&mut self, settling: Settling, result: &TxnResult) {
-        // A refusal means that an earlier try took effect.
+    pub(super) fn write_done(&mut self, follow_up: FollowUp, result: &TxnResult) {
+        // A refusal means that an earlier attempt took effect.
         if *result == TxnResult::Unknown {
-            self.settling.push_back(settling);
+            self.follow_ups.push_back(follow_up);
         }
     }
 
-    pub(super) fn look_done(&mut self, settling: Settling, rows: Option<&Rows>) {
-        let Settling::Look { mut entry, looks } = settling else {
-            self.settling.push_back(settling);
+    pub(super) fn lookup_done(&mut self, follow_up: FollowUp, rows: Option<&Rows>) {
+        let FollowUp::Lookup {
+            mut entry,
+            attempts,
+        } = follow_up
+        else {
+            self.follow_ups.push_back(follow_up);
             return;
         };
         let found = rows.and_then(|r| r.find(&entry.row_key));
         let mine = found.filter(|r| {
             r.decode::<ClaimRow>()
-                .is_ok_and(|c| c.request == entry.ask.request)
+                .is_ok_and(|c| c.request == entry.params.request)
         });
         if let Some(row) = mine {
             entry.version = row.version;
-            self.push_settling(Settling::Remove { entry });
-        } else if looks < MAX_LOOKS && found.is_none() {
-            let looks = looks + u32::from(rows.is_some());
-            self.push_settling(Settling::Look { entry, looks });
+            self.push_follow_up(FollowUp::Remove { entry });
+        } else if attempts < MAX_LOOKUPS && found.is_none() {
+            let attempts = attempts + u32::from(rows.is_some());
+            self.push_follow_up(FollowUp::Lookup { entry, attempts });
         }
     }
 }
--- a/crates/thistlesill-policy/src/lease.rs
+++ b/crates/thistlesill-policy/src/lease.rs
@@ -1,9 +1,9 @@
-//! The lease on a hall: who may give orders there.
+//! The lease on a hall, which decides which planner may give orders there.
 //!
-//! The table has no clock, so a lease is a row whose beat the holder keeps
-//! raising. Others take it over when they have seen it unchanged for its
-//! whole length on their own monotonic clock. The holder counts its length
-//! from before it sent the write that renewed it.
+//! The table has no clock, so a lease is a row whose renewal counter (`beat`) the holder keeps
+//! raising. Another planner takes the lease over once it has seen the row unchanged for the lease's
+//! whole length on its own monotonic clock. The holder counts the length from before it sent the
+//! write that renewed the lease.
 
 use serde::{Deserialize, Serialize};
 use thistlesill_core::chart::Chart;
@@ -13,55 +13,55 @@
 
 use crate::charts::{LeaseEvent, LeaseState};
 
-/// What to do about the lease now.
+/// What the caller has to do next about the lease.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LeaseStep {
-    /// Nothing.
+    /// Nothing to do.
     Wait,
-    /// Read the lease and term rows.
+    /// Read the lease row and the term row, and pass them to [`Lease::read`].
     Read,
-    /// Send a transaction that takes or renews the lease.
+    /// Send a transaction that takes or renews the lease, and pass its result to [`Lease::done`].
     Send(Txn),
 }
 
-/// What became of the lease.
+/// A change in who holds the lease, as far as this planner is concerned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeaseNews {
-    /// Nothing new.
+    /// No change.
     None,
-    /// It was gained.
+    /// This planner gained the lease.
     Gained {
         /// The new term.
         term: u64,
     },
-    /// It was lost or lapsed.
+    /// This planner lost the lease, or its lease ran out.
     Ended {
         /// The term that ended.
         term: u64,
     },
 }
 
-/// Times of a lease.
+/// The durations that govern a lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeasePeriods {
-    /// Between renewals, and between looks at another's lease.
+    /// The interval between renewals, and between reads of a lease that another planner holds.
     pub renew: Millis,
-    /// The lease's length.
+    /// How long a lease lasts without a renewal.
     pub length: Millis,
-    /// How much earlier the holder stops than others may take over.
+    /// How much earlier the holder stops using the lease than others may take it over.
     pub margin: Millis,
-    /// Waited in addition before a planner of another hall takes over.
+    /// An additional wait before a planner of another hall takes the lease over.
     pub courtesy: Millis,
 }
 
-/// The lease's rows as a holder knows them.
+/// The rows of a lease with their versions, as the holder announces them to others.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseSeen {
-    /// The lease.
+    /// The lease row.
     pub row: LeaseRow,
-    /// The version of its row.
+    /// The version of the lease row.
     pub version: u64,
-    /// The version of the term's row.
+    /// The version of the term row.
     pub term_version: u64,
 }
 
@@ -70,10 +70,10 @@
     row: LeaseRow,
     version: u64,
     term_version: u64,
-    since: Millis,
+    unchanged_since: Millis,
 }
 
-/// One planner's side of one hall's lease.
+/// One planner's state machine for the lease of one hall.
 #[derive(Debug, Clone)]
 pub struct Lease {
     chart: Chart<LeaseState, LeaseEvent>,
@@ -82,20 +82,20 @@
     hall: HallId,
     periods: LeasePeriods,
     known: Option<Known>,
-    /// Since when the rows were read and found absent.
-    vacant: Option<Millis>,
-    asked: Millis,
-    sought: Option<LeaseRow>,
-    /// The highest beat ever written or sent, so that no two writes of ours
-    /// are alike and a late one is not taken for a newer one.
-    beat: u64,
-    valid: Millis,
-    looked: Option<Millis>,
+    /// When the rows were first read and found absent.
+    absent_since: Option<Millis>,
+    sent_at: Millis,
+    sent_row: Option<LeaseRow>,
+    /// The highest `beat` ever sent, so that no two writes of this planner are alike and a write
+    /// that arrives late is not mistaken for a newer one.
+    last_beat: u64,
+    valid_until: Millis,
+    last_check: Option<Millis>,
     reading: bool,
 }
 
 impl Lease {
-    /// A planner that holds nothing.
+    /// Creates the state machine of a planner that does not hold the lease.
     pub const fn new(
         chart: Chart<LeaseState, LeaseEvent>,
         me: NodeId,
@@ -109,43 +109,47 @@
             hall,
             periods,
             known: None,
-            vacant: None,
-            asked: Millis::ZERO,
-            sought: None,
-            beat: 0,
-            valid: Millis::ZERO,
-            looked: None,
+            absent_since: None,
+            sent_at: Millis::ZERO,
+            sent_row: None,
+            last_beat: 0,
+            valid_until: Millis::ZERO,
+            last_check: None,
             reading: false,
         }
     }
 
-    /// The term, if the lease is held and has not run out. Ask right before
-    /// each order.
+    /// Returns the term if the lease is held and has not run out at `now`.
+    ///
+    /// Call this right before each order is sent.
     pub fn term(&self, now: Millis) -> Option<u64> {
         let holds = matches!(
             self.state,
             LeaseState::Holding | LeaseState::Renewing | LeaseState::Doubting
         );
-        let known = self.known.as_ref().filter(|_| holds && now < self.valid)?;
+        let known = self
+            .known
+            .as_ref()
+            .filter(|_| holds && now < self.valid_until)?;
         Some(known.row.term)
     }
 
-    /// The term of the row last known, held or not.
+    /// Returns the term in the last known row, whether or not this planner holds the lease.
     pub fn known_term(&self) -> Option<u64> {
         self.known.as_ref().map(|k| k.row.term)
     }
 
-    /// Where this planner stands.
+    /// Returns the state of this planner with regard to the lease.
     pub const fn state(&self) -> LeaseState {
         self.state
     }
 
-    /// The holder that was last read.
+    /// Returns the holder named by the last known row.
     pub fn holder(&self) -> Option<&NodeId> {
         self.known.as_ref().map(|k| &k.row.holder)
     }
 
-    /// The rows as the holder last wrote or read them, to be told to others.
+    /// Returns the rows as they were last written or read, for the holder to announce to others.
     pub fn shown(&self) -> Option<LeaseSeen> {
         let known = self.known.as_ref()?;
         Some(LeaseSeen {
@@ -155,9 +159,10 @@
         })
     }
 
-    /// Takes in what the holder told of the rows. They were so at some moment
-    /// before now, so counting the lease's length from now is safe, and a
-    /// later change of the row refuses a takeover.
+    /// Applies the rows that the holder announced, if they are newer than the known ones.
+    ///
+    /// The rows were in this state at some moment before `now`, so counting the lease's length from
+    /// `now` is safe. If the row changes later, its new version makes the table refuse a takeover.
     pub fn witness(&mut self, seen: LeaseSeen, now: Millis) {
         let newer = self.known.as_ref().is_none_or(|k| k.version < seen.version);
         if self.state != LeaseState::Watching || !newer {
@@ -167,101 +172,103 @@
             row: seen.row,
             version: seen.version,
             term_version: seen.term_version,
-            since: now,
+            unchanged_since: now,
         });
     }
 
-    /// Version of the term row, the guard of plan writes.
+    /// Returns the version of the term row, which guards writes to the plan; 0 if no row is known.
     pub fn term_version(&self) -> u64 {
         self.known.as_ref().map_or(0, |k| k.term_version)
     }
 
-    /// Looks at the time.
+    /// Checks the time: ends a lease that has run out and returns the next step.
     pub fn tick(&mut self, now: Millis) -> (LeaseStep, LeaseNews) {
-        let news = self.check_lapse(now);
-        let due = self.looked.is_none_or(|t| now - t >= self.periods.renew);
+        let change = self.check_lapse(now);
+        let due = self
+            .last_check
+            .is_none_or(|t| now - t >= self.periods.renew);
         let step = match self.state {
             LeaseState::Holding if due => self.send_renewal(now),
             LeaseState::Watching if self.may_take(now) => self.send_takeover(now),
             LeaseState::Watching | LeaseState::Unsure | LeaseState::Doubting
                 if due && !self.reading =>
             {
-                self.looked = Some(now);
+                self.last_check = Some(now);
                 self.reading = true;
                 LeaseStep::Read
             }
             _ => LeaseStep::Wait,
         };
-        (step, news)
+        (step, change)
     }
 
-    /// Takes in the rows; `None` if the read failed.
+    /// Applies the rows that were read; `rows` is `None` if the read failed.
     pub fn read(&mut self, rows: Option<&Rows>, now: Millis) -> LeaseNews {
         self.reading = false;
         let Some(rows) = rows else {
             return LeaseNews::None;
         };
         let found = self.decode(rows, now);
-        let settled = matches!(self.state, LeaseState::Unsure | LeaseState::Doubting);
+        let in_doubt = matches!(self.state, LeaseState::Unsure | LeaseState::Doubting);
         let ours = found
             .as_ref()
-            .is_some_and(|k| Some(&k.row) == self.sought.as_ref());
+            .is_some_and(|k| Some(&k.row) == self.sent_row.as_ref());
         let other_term =
             found.as_ref().map(|k| k.row.term) != self.known.as_ref().map(|k| k.row.term);
-        let before = self.known.as_ref().map(|k| k.row.term);
-        self.vacant = match found {
+        let old_term = self.known.as_ref().map(|k| k.row.term);
+        self.absent_since = match found {
             Some(_) => None,
-            None => self.vacant.or(Some(now)),
+            None => self.absent_since.or(Some(now)),
         };
         self.known = found;
-        if !settled {
+        if !in_doubt {
             return LeaseNews::None;
         }
         if ours {
             return self.granted();
         }
-        // Our write did not take effect. Since when the row stands as it was read is kept: a
-        // lease that ran out while the store was away is taken at its return, and not after
-        // its length once more (2.6 s without a planner). In doubt over a renewal, the lease
-        // is still ours as long as the term is; it is renewed at once, since
-        // much of its length is gone.
+        // The write did not take effect. The time since when the row is unchanged is kept, so that
+        // a lease that ran out during an outage of the store is taken over as soon as the store
+        // returns. Counting its length anew left the hall without a planner for another 2.6 s.
+        // After a renewal with an unknown result, the lease is still held as long as the term is
+        // the same. The renewal is repeated at once, unchanged_since much of the lease's length has passed.
         if self.state == LeaseState::Doubting && !other_term {
             self.apply(LeaseEvent::Granted);
-            self.looked = None;
+            self.last_check = None;
             return LeaseNews::None;
         }
-        self.denied(before)
+        self.denied(old_term)
     }
 
-    /// Takes in what became of a transaction.
+    /// Applies the result of a transaction.
     pub fn done(&mut self, result: &TxnResult, now: Millis) -> LeaseNews {
-        let before = self.known.as_ref().map(|k| k.row.term);
+        let old_term = self.known.as_ref().map(|k| k.row.term);
         match result {
             TxnResult::Replied(TxnReply::Committed { version }) => {
                 if !matches!(self.state, LeaseState::Asking | LeaseState::Renewing) {
                     return LeaseNews::None;
                 }
-                self.note_commit(*version, now);
+                self.record_commit(*version, now);
                 self.granted()
             }
             TxnResult::Replied(TxnReply::Refused { .. }) if self.state == LeaseState::Asking => {
-                self.looked = None;
-                // The row is another one than was known.
+                self.last_check = None;
+                // The row differs from the one that was known.
                 self.known = None;
-                self.vacant = None;
-                self.denied(before)
+                self.absent_since = None;
+                self.denied(old_term)
             }
-            // A refused renewal may have met an earlier one of ours that
-            // came late: the row decides.
+            // A renewal may have been refused because an earlier renewal of this planner arrived
+            // late, so the row has to be read to decide.
             TxnResult::Replied(TxnReply::Refused { .. }) | TxnResult::Unknown => {
-                self.looked = None;
+                self.last_check = None;
                 self.apply(LeaseEvent::Lost);
                 LeaseNews::None
             }
         }
     }
 
-    /// Gives the lease up; the transaction is to be sent once.
+    /// Gives up the lease and returns the transaction for it, which is to be sent once.
     pub fn release(&mut self, now: Millis) -> Option<Txn> {
         self.term(now)?;
         let known = self.known.as_ref()?;
@@ -272,30 +279,32 @@
         let key = lease_key(&self.hall);
         let txn = Txn::new().at(key.clone(), known.version).put(key, &row);
         self.apply(LeaseEvent::Release);
-        self.valid = Millis::ZERO;
-        self.looked = Some(now);
+        self.valid_until = Millis::ZERO;
+        self.last_check = Some(now);
         Some(txn)
     }
 
     fn decode(&self, rows: &Rows, now: Millis) -> Option<Known> {
         let lease = rows.find(&lease_key(&self.hall))?;
         let term = rows.find(&term_key(&self.hall));
-        let row = lease.decode().unwrap_or_else(|_| self.unreadable(term));
+        let row = lease.decode().unwrap_or_else(|_| self.fallback_row(term));
         let term_version = term.map_or(0, |r| r.version);
         let same = self.known.as_ref().filter(|k| k.version == lease.version);
         Some(Known {
             row,
             version: lease.version,
             term_version,
-            since: same.map_or(now, |k| k.since),
+            unchanged_since: same.map_or(now, |k| k.unchanged_since),
         })
     }
 
-    /// What stands in for a lease that cannot be read, since another writer wrote there:
-    /// the last one that is known. It runs out like any other; taken for no lease at all,
-    /// it would never be replaced, and no group would be formed any more.
-    fn unreadable(&self, term: Option<&Row>) -> LeaseRow {
-        let told = term.and_then(|row| row.decode::<TermRow>().ok());
+    /// Returns the row to assume when the lease row cannot be decoded because something else wrote
+    /// to it: the last known row.
+    ///
+    /// Such a lease runs out like any other. If it counted as absent, it would never be replaced,
+    /// and no more groups would be formed.
+    fn fallback_row(&self, term: Option<&Row>) -> LeaseRow {
+        let term_row = term.and_then(|row| row.decode::<TermRow>().ok());
         let known = self.known.as_ref().map(|k| k.row.clone());
         let last = known.unwrap_or_else(|| LeaseRow {
             holder: NodeId::default(),
@@ -304,7 +313,7 @@
             free: false,
         });
         LeaseRow {
-            term: told.map_or(0, |row| row.term).max(last.term),
+            term: term_row.map_or(0, |row| row.term).max(last.term),
             free: false,
             ..last
         }
@@ -313,19 +322,19 @@
     fn may_take(&self, now: Millis) -> bool {
         let Some(known) = &self.known else {
             let courtesy = self.periods.courtesy;
-            return self.vacant.is_some_and(|t| now - t >= courtesy);
+            return self.absent_since.is_some_and(|t| now - t >= courtesy);
         };
         let wait = self.periods.length + self.periods.courtesy;
-        // A row of this daemon's own name that it did not write in this life
-        // is from a life that ended.
-        let own = known.row.holder == self.me && self.beat == 0;
-        known.row.free || own || now - known.since >= wait
+        // A row under this daemon's own name that was not written unchanged_since the daemon started comes
+        // from a previous run, which has ended.
+        let from_previous_run = known.row.holder == self.me && self.last_beat == 0;
+        known.row.free || from_previous_run || now - known.unchanged_since >= wait
     }
 
     fn send_takeover(&mut self, now: Millis) -> LeaseStep {
         let old = self.known.as_ref();
         let term = old.map_or(0, |k| k.row.term) + 1;
-        let beat = old.map_or(0, |k| k.row.beat).max(self.beat) + 1;
+        let beat = old.map_or(0, |k| k.row.beat).max(self.last_beat) + 1;
         let row = LeaseRow {
             holder: self.me.clone(),
             term,
@@ -338,7 +347,7 @@
             .at(term_key.clone(), old.map_or(0, |k| k.term_version))
             .put(key, &row)
             .put(term_key, &TermRow { term });
-        self.sent(row, now);
+        self.record_sent(row, now);
         LeaseStep::Send(txn)
     }
 
@@ -347,25 +356,25 @@
             return LeaseStep::Wait;
         };
         let row = LeaseRow {
-            beat: known.row.beat.max(self.beat) + 1,
+            beat: known.row.beat.max(self.last_beat) + 1,
             ..known.row.clone()
         };
         let key = lease_key(&self.hall);
         let txn = Txn::new().at(key.clone(), known.version).put(key, &row);
-        self.sent(row, now);
+        self.record_sent(row, now);
         LeaseStep::Send(txn)
     }
 
-    fn sent(&mut self, row: LeaseRow, now: Millis) {
-        self.beat = row.beat;
-        self.sought = Some(row);
-        self.asked = now;
-        self.looked = Some(now);
+    fn record_sent(&mut self, row: LeaseRow, now: Millis) {
+        self.last_beat = row.beat;
+        self.sent_row = Some(row);
+        self.sent_at = now;
+        self.last_check = Some(now);
         self.apply(LeaseEvent::Ask);
     }
 
-    fn note_commit(&mut self, version: u64, now: Millis) {
-        let Some(row) = self.sought.clone() else {
+    fn record_commit(&mut self, version: u64, now: Millis) {
+        let Some(row) = self.sent_row.clone() else {
             return;
         };
         let took_over = self.state == LeaseState::Asking;
@@ -378,14 +387,14 @@
             row,
             version,
             term_version,
-            since: now,
+            unchanged_since: now,
         });
     }
 
     fn granted(&mut self) -> LeaseNews {
         let gained = matches!(self.state, LeaseState::Asking | LeaseState::Unsure);
         self.apply(LeaseEvent::Granted);
-        self.valid = self.asked + self.periods.length - self.periods.margin;
+        self.valid_until = self.sent_at + self.periods.length - self.periods.margin;
         match &self.known {
             Some(known) if gained => LeaseNews::Gained {
                 term: known.row.term,
@@ -397,7 +406,7 @@
     fn denied(&mut self, term: Option<u64>) -> LeaseNews {
         let held = matches!(self.state, LeaseState::Renewing | LeaseState::Doubting);
         self.apply(LeaseEvent::Denied);
-        self.valid = Millis::ZERO;
+        self.valid_until = Millis::ZERO;
         match term {
             Some(term) if held => LeaseNews::Ended { term },
             _ => LeaseNews::None,
@@ -409,15 +418,15 @@
             self.state,
             LeaseState::Holding | LeaseState::Renewing | LeaseState::Doubting
         );
-        if !held || now < self.valid {
+        if !held || now < self.valid_until {
             return LeaseNews::None;
         }
         self.apply(LeaseEvent::Lapse);
-        // What was known of the row is from before the lapse; look again
-        // before anything else, and count its length anew.
+        // The known row dates from before the lease ran out: read it again first, and count its
+        // length from then.
         let term = self.known.take().map_or(0, |k| k.row.term);
-        self.vacant = None;
-        self.looked = None;
+        self.absent_since = None;
+        self.last_check = None;
         LeaseNews::Ended { term }
     }
 
--- a/crates/thistlesill-policy/src/plan.rs
+++ b/crates/thistlesill-policy/src/plan.rs
@@ -1,5 +1,5 @@
-//! The planner's decisions for one hall: hold the lease, keep the plan in
-//! the table, and give orders until the targets report what was planned.
+//! Planning for one hall: holds the lease, keeps the plan in the table, and sends orders until the
+//! targets report what was planned.
 
 mod assess;
 mod hall;
@@ -18,144 +18,145 @@
 use crate::charts::GroupState;
 use crate::lease::LeasePeriods;
 
-/// How a planner forms groups.
+/// The placement that a planner uses to form groups.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Strategy {
-    /// The shipped placement.
+    /// The default placement, [`place`](crate::placement::place), which weighs downtime against
+    /// stranded accelerators.
     #[default]
     Weighed,
-    /// First fit without spares.
+    /// First fit without spares, for comparison.
     FirstFit,
-    /// Rebuild from scratch.
+    /// A rebuild from scratch whenever a better packing exists, for comparison.
     Rebuild,
 }
 
-/// What a hall's planner is started with.
+/// The options of the planner of one hall.
 #[derive(Debug, Clone)]
 pub struct PlanOptions {
-    /// The planner.
+    /// The name of this planner.
     pub name: NodeId,
-    /// The region.
+    /// The region of the hall.
     pub region: RegionId,
-    /// The hall that is planned.
+    /// The hall to plan.
     pub hall: HallId,
-    /// Times of the lease.
+    /// The durations of the lease.
     pub lease: LeasePeriods,
-    /// How groups are formed.
+    /// The placement that forms groups.
     pub strategy: Strategy,
 }
 
-/// What a planner is to do.
+/// An action that a hall's planner asks its caller for.
 #[derive(Debug, Clone, PartialEq)]
 pub enum PlanAction {
-    /// Send a transaction.
+    /// Send a transaction and report its result as [`PlanEvent::TxnDone`].
     SendTxn {
-        /// Its number.
+        /// Identifies the transaction.
         flight: u64,
-        /// The transaction.
+        /// The transaction to send.
         txn: Txn,
     },
-    /// Read rows by prefix.
+    /// Read rows by prefix and report them as [`PlanEvent::RowsRead`].
     Read {
-        /// Its number.
+        /// Identifies the read.
         flight: u64,
-        /// The prefixes.
+        /// The key prefixes to read.
         prefixes: Vec<RowKey>,
     },
-    /// Give an order, unless the lease has run out by then.
+    /// Send an order to a target, unless the lease has run out by then.
     Give {
-        /// The order.
+        /// The order to send.
         order: Order,
-        /// Where to.
+        /// The address of the target.
         address: SocketAddr,
     },
-    /// Note an event on the time line.
+    /// Record an event on the timeline.
     Note(TimelineEvent),
 }
 
-/// What a planner learns beside the view.
+/// An event that a hall's planner handles, apart from what the view shows.
 #[derive(Debug, Clone, PartialEq)]
 pub enum PlanEvent {
-    /// A transaction ended.
+    /// A transaction finished.
     TxnDone {
-        /// Its number.
+        /// The number from [`PlanAction::SendTxn`].
         flight: u64,
-        /// How.
+        /// The result of the transaction.
         result: TxnResult,
     },
-    /// Rows were read, or not.
+    /// A read finished or failed.
     RowsRead {
-        /// The read's number.
+        /// The number from [`PlanAction::Read`].
         flight: u64,
-        /// The rows, if the read succeeded.
+        /// The rows, or `None` if the read failed.
         rows: Option<Rows>,
     },
-    /// An order was answered, or not.
+    /// An order was answered, or its answer was lost.
     Answered {
-        /// The target.
+        /// The target of the order.
         instance: InstanceId,
-        /// The order's fence.
+        /// The fence of the order.
         fence: Fence,
-        /// The answer, if one came.
+        /// The answer, or `None` if none came.
         reply: Option<OrderReply>,
     },
 }
 
-/// A planned group for operators.
+/// A planned group, as shown to operators.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupInfo {
     /// The group.
     pub group: GroupId,
-    /// Its epoch.
+    /// The epoch in which the group was formed.
     pub epoch: u64,
-    /// Its fabric domain.
+    /// The fabric domain of the members.
     pub domain: DomainId,
-    /// Its members in order of rank.
+    /// The members in order of rank.
     pub members: Vec<InstanceId>,
-    /// What it runs.
+    /// The model that the group runs.
     pub load: Load,
-    /// Where it stands.
+    /// The state of the group.
     pub state: GroupState,
-    /// Why it is to end, if it is.
+    /// Why the group is draining or has ended, if it is or has.
     pub why: Option<EndReason>,
-    /// What it waits for, in words.
+    /// What the group is waiting for, one sentence per member.
     pub waits: Vec<String>,
 }
 
-/// A hall's plan for operators.
+/// The plan of a hall, as shown to operators.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HallInfo {
     /// The hall.
     pub hall: HallId,
-    /// Whether this planner holds its lease now.
+    /// Whether this planner holds the hall's lease now.
     pub holding: bool,
-    /// The holder that this planner last read of.
+    /// The holder that this planner last read from the table.
     pub holder: Option<NodeId>,
     /// The term, if this planner holds the lease.
     pub term: Option<u64>,
-    /// Planned groups; empty unless this planner holds the lease.
+    /// The planned groups; empty unless this planner holds the lease.
     pub groups: Vec<GroupInfo>,
-    /// Pools in words: what is free and why no more groups are formed.
+    /// The pools that have free instances, and why these form no group.
     pub pools: Vec<PoolInfo>,
 }
 
-/// A pool for operators.
+/// A pool, as shown to operators.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PoolInfo {
     /// The fabric domain.
     pub domain: DomainId,
-    /// The generation.
+    /// The hardware generation.
     pub generation: String,
-    /// Free instances.
+    /// The free instances.
     pub free: Vec<InstanceId>,
-    /// Why they are free.
+    /// Why the instances are free, as a sentence.
     pub why: String,
 }
 
 /// How long a member may be missing before its group is ended.
-const PATIENCE: Millis = Millis::new(4_000);
-/// Group loads under way at a time, while no branch says.
-const LOADS: u32 = 4;
-/// Between two tries of an order that was not followed yet.
-const REPEAT: Millis = Millis::new(1_500);
+const MISSING_MEMBER_TIMEOUT: Millis = Millis::new(4_000);
+/// The maximum number of groups that load weights at a time, unless the settings say otherwise.
+const DEFAULT_CONCURRENT_LOADS: u32 = 4;
+/// The interval between two attempts to send an order that has not been taken.
+const ORDER_RETRY_INTERVAL: Millis = Millis::new(1_500);
--- a/crates/thistlesill-policy/src/plan/hall.rs
+++ b/crates/thistlesill-policy/src/plan/hall.rs
@@ -1,4 +1,4 @@
-//! The planner's state for one hall and its step.
+//! The state of a hall's planner and its reaction to time and events.
 
 mod holding;
 mod ordering;
@@ -15,41 +15,41 @@
 use thistlesill_core::timeline::EndReason;
 use thistlesill_core::{GroupId, InstanceId, Millis};
 
-use super::assess::{Assessment, Standing};
-use super::orders::OrderBook;
-use super::pools::{self, Steadiness};
+use super::assess::{Assessment, MemberStatus};
+use super::orders::PendingOrders;
+use super::pools::{self, PoolStability};
 use super::{GroupInfo, HallInfo, PlanAction, PlanEvent, PlanOptions, PoolInfo};
 use crate::charts::{Charts, GroupEvent, GroupState};
 use crate::lease::Lease;
 use crate::placement::Pool;
 use crate::presence::View;
 
-/// Bits of an epoch that count the orders within a term.
-const EPOCH_BITS: u32 = 24;
-/// How long the free instances of a pool must have been the same before a
-/// group is formed of them, so that all that come free together are used.
-const GATHER: Millis = Millis::new(1_200);
-/// How long a group must have served before the next one is changed: by then
-/// all routers have seen it whole.
-const SETTLED: Millis = Millis::new(4_000);
-/// How long instances that come free are waited for.
-const ENDING_PATIENCE: Millis = Millis::new(6_000);
-/// The longest that an order may be under way, while no branch says.
-const ORDER_DELAY: Millis = Millis::new(2_000);
-/// How long a group may drain, while no branch says.
-const DRAIN: Millis = Millis::new(120_000);
+/// The number of low bits of an epoch that count the epochs within a term.
+const EPOCH_COUNTER_BITS: u32 = 24;
+/// How long the free instances of a pool must have been the same before groups are formed from
+/// them, so that instances that come free at about the same time are used together.
+const FORMING_DELAY: Millis = Millis::new(1_200);
+/// How long all other groups must have served before a change of the settings drains the next one.
+/// By then all routers have seen them complete.
+const MIN_SERVING_TIME: Millis = Millis::new(4_000);
+/// How long instances that should come free are waited for.
+const RELEASE_TIMEOUT: Millis = Millis::new(6_000);
+/// The longest that an order may be in flight, unless the settings say otherwise.
+const DEFAULT_ORDER_DELAY: Millis = Millis::new(2_000);
+/// How long a group may drain, unless the settings say otherwise.
+const DEFAULT_DRAIN_TIMEOUT: Millis = Millis::new(120_000);
 
 #[derive(Debug, Clone)]
-struct Planned {
+struct PlannedGroup {
     row: GroupRow,
     version: u64,
     state: GroupState,
-    /// When a member was first missed.
-    missed: Option<Millis>,
-    /// Since when it has stood as it does.
+    /// When a member was first found missing.
+    missing_since: Option<Millis>,
+    /// When the group entered its current state.
     since: Millis,
-    /// When it began to drain.
-    drained: Option<Millis>,
+    /// When the group began to drain.
+    drain_start: Option<Millis>,
     why: Option<EndReason>,
     assessment: Option<Assessment>,
 }
@@ -66,44 +66,45 @@
     LeaseRead,
     LeaseTxn,
     PlanRead { term: u64 },
-    Plan(Change),
+    Plan(PlanChange),
 }
 
-/// A change of the plan that a transaction carries.
+/// A change of the plan that one transaction writes.
 #[derive(Debug, Clone, Default)]
-struct Change {
+struct PlanChange {
     ended: Vec<(GroupId, EndReason)>,
     aside: Vec<(InstanceId, InstanceRow)>,
     formed: Vec<GroupRow>,
 }
 
-/// One planner's decisions for one hall.
+/// The planner of one hall.
 #[derive(Debug, Clone)]
 pub struct HallPlanner {
     options: PlanOptions,
     chart: Chart<GroupState, GroupEvent>,
     lease: Lease,
-    loaded: bool,
-    groups: BTreeMap<GroupId, Planned>,
+    plan_loaded: bool,
+    groups: BTreeMap<GroupId, PlannedGroup>,
     held: BTreeMap<InstanceId, HeldRow>,
-    orders: OrderBook,
-    steadiness: Steadiness,
+    orders: PendingOrders,
+    stability: PoolStability,
     pools: Vec<Pool>,
-    /// Whether instances are about to come free or to form a group: no
-    /// other group is changed meanwhile.
-    unfinished: bool,
-    counter: u64,
+    /// Whether instances are about to come free or to form a group. Until that is done, a change of
+    /// the settings drains no other group and no spare loads weights.
+    in_transition: bool,
+    epoch_counter: u64,
     /// When the lease was gained.
-    gained: Millis,
-    /// No orders before this: those of the last holder may be under way.
-    quiet: Millis,
+    gained_at: Millis,
+    /// No orders are sent before this time, because orders of the previous holder may still be in
+    /// flight.
+    quiet_until: Millis,
     flights: BTreeMap<u64, Flight>,
     next_flight: u64,
     out: Vec<PlanAction>,
 }
 
 impl HallPlanner {
-    /// A planner that holds nothing.
+    /// Creates a planner that does not hold the hall's lease.
     pub fn new(options: PlanOptions, charts: &Charts) -> Self {
         let lease = Lease::new(
             charts.lease.clone(),
@@ -114,16 +115,16 @@
         Self {
             chart: charts.group.clone(),
             lease,
-            loaded: false,
+            plan_loaded: false,
             groups: BTreeMap::new(),
             held: BTreeMap::new(),
-            orders: OrderBook::default(),
-            steadiness: Steadiness::default(),
+            orders: PendingOrders::default(),
+            stability: PoolStability::default(),
             pools: Vec::new(),
-            unfinished: true,
-            counter: 0,
-            gained: Millis::ZERO,
-            quiet: Millis::ZERO,
+            in_transition: true,
+            epoch_counter: 0,
+            gained_at: Millis::ZERO,
+            quiet_until: Millis::ZERO,
             flights: BTreeMap::new(),
             next_flight: 0,
             out: Vec::new(),
@@ -131,12 +132,16 @@
         }
     }
 
-    /// The term, if the lease is held: ask right before giving an order.
+    /// Returns the term if the lease is held at `now`.
+    ///
+    /// Call this right before each order is sent.
     pub fn term(&self, now: Millis) -> Option<u64> {
         self.lease.term(now)
     }
 
-    /// Looks at the time, the targets and the settings.
+    /// Advances to `now` with the current view of the targets and the settings.
+    ///
+    /// `window` is how long a report of a target counts.
     pub fn tick(
         &mut self,
         view: &View,
@@ -146,17 +151,17 @@
     ) -> Vec<PlanAction> {
         self.tick_lease(tree, now);
         if let (Some(term), Some(tree)) = (self.lease.term(now), tree) {
-            if self.loaded {
+            if self.plan_loaded {
                 let observed = view.observe_all(now, window);
-                self.look(view, &observed, tree, now);
-            } else if !self.is_flying() {
+                self.update(view, &observed, tree, now);
+            } else if !self.has_plan_flight() {
                 self.read_plan(term);
             }
         }
         std::mem::take(&mut self.out)
     }
 
-    /// Takes in an event.
+    /// Handles an event.
     pub fn step(&mut self, event: PlanEvent, now: Millis) -> Vec<PlanAction> {
         match event {
             PlanEvent::TxnDone { flight, result } => self.txn_done(flight, &result, now),
@@ -170,20 +175,20 @@
         std::mem::take(&mut self.out)
     }
 
-    /// Gives the lease up before the daemon stops.
+    /// Gives up the lease before the daemon stops.
     pub fn release(&mut self, now: Millis) -> Vec<PlanAction> {
         let term = self.lease.term(now);
         if let (Some(txn), Some(term)) = (self.lease.release(now), term) {
-            let flight = self.flight(Flight::LeaseTxn);
+            let flight = self.start_flight(Flight::LeaseTxn);
             self.out.push(PlanAction::SendTxn { flight, txn });
-            self.ended_term(term);
+            self.end_term(term);
         }
         std::mem::take(&mut self.out)
     }
 
-    /// The plan for operators.
+    /// Returns the plan for operators.
     pub fn info(&self, now: Millis) -> HallInfo {
-        let group = |g: &Planned| GroupInfo {
+        let group = |g: &PlannedGroup| GroupInfo {
             group: g.row.group.clone(),
             epoch: g.row.epoch,
             domain: g.row.domain.clone(),
@@ -194,7 +199,7 @@
             waits: g
                 .assessment
                 .as_ref()
-                .map(Assessment::waits)
+                .map(Assessment::describe_waits)
                 .unwrap_or_default(),
         };
         let free = self.pools.iter().filter(|p| !p.free.is_empty());
@@ -209,48 +214,53 @@
                     domain: p.key.domain.clone(),
                     generation: p.key.generation.to_string(),
                     free: p.free.iter().map(|f| f.instance.clone()).collect(),
-                    why: pools::why_free(p),
+                    why: pools::describe_free(p),
                 })
                 .collect(),
         }
     }
 }
 
-const EPOCH_MASK: u64 = (1 << EPOCH_BITS) - 1;
+const EPOCH_COUNTER_MASK: u64 = (1 << EPOCH_COUNTER_BITS) - 1;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Availability {
-    /// It can join a group now.
+    /// The instance can join a group now.
     Free,
-    /// It is about to come free.
-    Soon,
-    /// It should be there and is not.
+    /// The instance is about to come free.
+    Releasing,
+    /// The instance should be available and is not.
     Missing,
-    /// It is in use, leaving, or no model engine.
-    Held,
+    /// The instance is in use, or runs a plain service instead of a model engine.
+    InUse,
 }
 
-const fn planned(row: GroupRow, version: u64, state: GroupState, since: Millis) -> Planned {
-    Planned {
+const fn planned_group(
+    row: GroupRow,
+    version: u64,
+    state: GroupState,
+    since: Millis,
+) -> PlannedGroup {
+    PlannedGroup {
         row,
         version,
         state,
-        missed: None,
+        missing_since: None,
         since,
-        drained: None,
+        drain_start: None,
         why: None,
         assessment: None,
     }
 }
 
-/// The orders that members of a planned group have not followed yet.
-fn join_tasks(planned: &Planned) -> Vec<(InstanceId, Task)> {
+/// Returns join orders for the members of a planned group that are still idle.
+fn join_tasks(planned: &PlannedGroup) -> Vec<(InstanceId, Task)> {
     let Some(found) = &planned.assessment else {
         return Vec::new();
     };
     let size = planned.row.members.len() as u32;
     let idle = found.members.iter().enumerate();
-    idle.filter(|(_, (_, standing))| *standing == Standing::Idle)
+    idle.filter(|(_, (_, status))| *status == MemberStatus::Idle)
         .map(|(rank, (instance, _))| {
             let membership = Membership {
                 group: planned.row.group.clone(),
@@ -264,13 +274,14 @@
         .collect()
 }
 
-/// The order to the leader of a draining group, until it reports so.
-fn quiesce_task(planned: &Planned) -> Option<(InstanceId, Task)> {
+/// Returns the order that makes the leader of a group quiesce, until the leader reports that it
+/// drains.
+fn quiesce_task(planned: &PlannedGroup) -> Option<(InstanceId, Task)> {
     let found = planned.assessment.as_ref()?;
-    let (leader, standing) = found.members.first()?;
+    let (leader, status) = found.members.first()?;
     let task = Task::Quiesce {
         group: planned.row.group.clone(),
         epoch: planned.row.epoch,
     };
-    (*standing == Standing::Ready).then(|| (leader.clone(), task))
+    (*status == MemberStatus::Ready).then(|| (leader.clone(), task))
 }
--- a/crates/thistlesill-policy/src/plan/hall/ordering.rs
+++ b/crates/thistlesill-policy/src/plan/hall/ordering.rs
@@ -1,4 +1,4 @@
-//! Orders that bring the targets to what is planned.
+//! Orders that bring the targets to the planned state.
 
 use std::collections::BTreeMap;
 
@@ -8,50 +8,52 @@
 use thistlesill_core::timeline::TimelineEvent;
 use thistlesill_core::{InstanceId, Millis};
 
-use super::{EPOCH_BITS, EPOCH_MASK, HallPlanner, join_tasks, quiesce_task};
+use super::{EPOCH_COUNTER_BITS, EPOCH_COUNTER_MASK, HallPlanner, join_tasks, quiesce_task};
 use crate::charts::GroupState;
 use crate::placement::Pool;
 use crate::plan::PlanAction;
 use crate::presence::Observed;
 
-/// The weight of downtime from which spares are kept warm.
-const WARM_FROM: f64 = 0.5;
+/// The downtime weight from which on spares are kept warm.
+const MIN_WARM_WEIGHT: f64 = 0.5;
 
 impl HallPlanner {
-    /// Compares what targets report with the plan.
-    pub(super) fn want_orders(&mut self, observed: &BTreeMap<InstanceId, Observed>) {
-        let mut joins = Vec::new();
+    /// Queues orders wherever the reports of the targets differ from the plan.
+    pub(super) fn queue_orders(&mut self, observed: &BTreeMap<InstanceId, Observed>) {
+        let mut wanted = Vec::new();
         for planned in self.groups.values() {
             match planned.state {
-                GroupState::Planned => joins.extend(join_tasks(planned)),
-                GroupState::Draining => joins.extend(quiesce_task(planned)),
+                GroupState::Planned => wanted.extend(join_tasks(planned)),
+                GroupState::Draining => wanted.extend(quiesce_task(planned)),
                 GroupState::Loading | GroupState::Serving | GroupState::Ended => {}
             }
         }
         for (instance, seen) in observed {
             if seen.sighting.hall == self.options.hall && self.needs_reset(instance, seen) {
-                joins.push((instance.clone(), Task::Reset));
+                wanted.push((instance.clone(), Task::Reset));
             }
         }
-        joins.extend(self.warm_tasks());
-        for (instance, task) in joins {
+        wanted.extend(self.warm_tasks());
+        for (instance, task) in wanted {
             let Some(seen) = observed.get(&instance) else {
                 continue;
             };
-            self.want_order(&instance, seen, task);
+            self.queue_order(&instance, seen, task);
         }
     }
 
-    /// Spares load what their pool runs, so that a repair needs no loading.
+    /// Returns orders that make spares load what their pool runs, so that a repair needs no
+    /// loading.
     ///
-    /// Only while nothing is about to be formed: an instance that joins a
-    /// group has an older fence then. One that left a group has the weights
+    /// There are none while a group is about to be formed. The fence of a join order is fixed when
+    /// its group is planned; a warm order sent after that would have a higher fence, and the target
+    /// would refuse the join order as stale. An instance that has left a group has the weights
     /// already.
     fn warm_tasks(&self) -> Vec<(InstanceId, Task)> {
-        if self.unfinished || self.is_flying() {
+        if self.in_transition || self.has_plan_flight() {
             return Vec::new();
         }
-        let weighs_downtime = |p: &&Pool| p.want.downtime_weight >= WARM_FROM;
+        let weighs_downtime = |p: &&Pool| p.want.downtime_weight >= MIN_WARM_WEIGHT;
         let pools = self.pools.iter().filter(weighs_downtime);
         let serving = pools.filter(|p| !p.groups.is_empty());
         let mut tasks = Vec::new();
@@ -68,27 +70,28 @@
         tasks
     }
 
-    pub(super) fn want_order(&mut self, instance: &InstanceId, seen: &Observed, task: Task) {
+    pub(super) fn queue_order(&mut self, instance: &InstanceId, seen: &Observed, task: Task) {
         let Some(term) = self.lease.known_term() else {
             return;
         };
         let epoch = match &task {
             Task::Join(m) => m.epoch,
             Task::Reset | Task::Warm { .. } | Task::Quiesce { .. } => {
-                (term << EPOCH_BITS) | (self.counter + 1)
+                (term << EPOCH_COUNTER_BITS) | (self.epoch_counter + 1)
             }
         };
-        let before = self.orders.get(instance).map(|p| p.fence);
+        let old_fence = self.orders.get(instance).map(|p| p.fence);
         let fence = Fence { term, epoch };
         self.orders
-            .want(instance, seen.sighting.incarnation, task, || fence);
-        if self.orders.get(instance).map(|p| p.fence) != before && epoch & EPOCH_MASK > self.counter
+            .set(instance, seen.sighting.incarnation, task, || fence);
+        if self.orders.get(instance).map(|p| p.fence) != old_fence
+            && epoch & EPOCH_COUNTER_MASK > self.epoch_counter
         {
-            self.counter += 1;
+            self.epoch_counter += 1;
         }
     }
 
-    /// Whether a target holds something that the plan does not.
+    /// Returns whether a target holds something that the plan does not.
     pub(super) fn needs_reset(&self, instance: &InstanceId, seen: &Observed) -> bool {
         let member = seen.sighting.state.membership();
         match self.held.get(instance).map(|h| &h.row.held) {
@@ -101,11 +104,11 @@
         }
     }
 
-    pub(super) fn give_orders(&mut self, observed: &BTreeMap<InstanceId, Observed>, now: Millis) {
-        if now < self.quiet || self.lease.term(now).is_none() {
+    pub(super) fn send_orders(&mut self, observed: &BTreeMap<InstanceId, Observed>, now: Millis) {
+        if now < self.quiet_until || self.lease.term(now).is_none() {
             return;
         }
-        self.reopen_ignored(observed);
+        self.retry_ignored_resets(observed);
         for (instance, pending) in self.orders.due(now) {
             let Some(seen) = observed.get(&instance) else {
                 continue;
@@ -128,14 +131,13 @@
         }
     }
 
-    /// An order that was taken but whose target still shows a group that it
-    /// should have left is sent again.
-    pub(super) fn reopen_ignored(&mut self, observed: &BTreeMap<InstanceId, Observed>) {
+    /// Sends a reset again if its target took it but still reports a group.
+    pub(super) fn retry_ignored_resets(&mut self, observed: &BTreeMap<InstanceId, Observed>) {
         for (instance, seen) in observed {
             let order = self.orders.get(instance);
             let resets = order.is_some_and(|p| p.task == Task::Reset && p.taken);
             if resets && seen.sighting.state.membership().is_some() {
-                self.orders.reopen(instance);
+                self.orders.retry(instance);
             }
         }
     }
--- a/crates/thistlesill-policy/src/plan/hall/planning.rs
+++ b/crates/thistlesill-policy/src/plan/hall/planning.rs
@@ -1,4 +1,4 @@
-//! Comparing the plan with the hall, and deciding what to change.
+//! Comparison of the plan with the reports, and the changes that follow.
 
 use std::collections::BTreeMap;
 
@@ -11,19 +11,19 @@
 use thistlesill_core::{GroupId, InstanceId, Millis};
 
 use super::{
-    Availability, Change, DRAIN, ENDING_PATIENCE, EPOCH_BITS, Flight, GATHER, HallPlanner, Planned,
-    SETTLED,
+    Availability, DEFAULT_DRAIN_TIMEOUT, EPOCH_COUNTER_BITS, FORMING_DELAY, Flight, HallPlanner,
+    MIN_SERVING_TIME, PlanChange, PlannedGroup, RELEASE_TIMEOUT,
 };
 use crate::charts::{GroupEvent, GroupState};
 use crate::placement::{
     Existing, Forming, Free, Placement, Pool, PoolKey, first_fit, place, rebuild,
 };
-use crate::plan::assess::{Assessment, Standing, assess};
-use crate::plan::{LOADS, PATIENCE, PlanAction, Strategy, pools};
+use crate::plan::assess::{Assessment, MemberStatus, assess};
+use crate::plan::{DEFAULT_CONCURRENT_LOADS, MISSING_MEMBER_TIMEOUT, PlanAction, Strategy, pools};
 use crate::presence::{Observed, View};
 
 impl HallPlanner {
-    pub(super) fn look(
+    pub(super) fn update(
         &mut self,
         view: &View,
         observed: &BTreeMap<InstanceId, Observed>,
@@ -31,15 +31,15 @@
         now: Millis,
     ) {
         self.assess_all(view, observed, tree, now);
-        self.pools = self.gather(observed, tree, now);
-        self.unfinished =
+        self.pools = self.collect_pools(observed, tree, now);
+        self.in_transition =
             self.pools.iter().any(|p| p.ending > 0) || !place(&self.pools, now).form.is_empty();
-        if !self.is_flying() {
+        if !self.has_plan_flight() {
             let change = self.decide(observed, tree, now);
-            self.write(change);
+            self.write_plan(change);
         }
-        self.want_orders(observed);
-        self.give_orders(observed, now);
+        self.queue_orders(observed);
+        self.send_orders(observed, now);
     }
 
     pub(super) fn assess_all(
@@ -56,10 +56,10 @@
                 continue;
             };
             let found = assess(&planned.row, observed, now);
-            if found.any(Standing::Missing) {
-                planned.missed.get_or_insert(now);
+            if found.any(MemberStatus::Missing) {
+                planned.missing_since.get_or_insert(now);
             } else {
-                planned.missed = None;
+                planned.missing_since = None;
             }
             planned.assessment = Some(found);
             self.advance(&id, view, tree, now);
@@ -73,17 +73,24 @@
         let Some(found) = planned.assessment.clone() else {
             return;
         };
-        let was_whole = matches!(planned.state, GroupState::Serving | GroupState::Draining);
-        let missing_long = planned.missed.is_some_and(|t| now - t >= PATIENCE);
-        let was_taken = planned.state != GroupState::Planned;
-        if let Some(why) = found.fault(was_taken, missing_long) {
+        let was_complete = matches!(planned.state, GroupState::Serving | GroupState::Draining);
+        let missing_long = planned
+            .missing_since
+            .is_some_and(|t| now - t >= MISSING_MEMBER_TIMEOUT);
+        let orders_taken = planned.state != GroupState::Planned;
+        if let Some(why) = found.end_reason(orders_taken, missing_long) {
             self.apply(id, GroupEvent::End, Some(why), now);
             return;
         }
-        let taken = |s| matches!(s, Standing::Loading | Standing::Ready | Standing::Draining);
-        if found.all(|s| s == Standing::Ready) {
-            self.apply(id, GroupEvent::Whole, None, now);
-        } else if !was_whole && found.all(taken) {
+        let taken = |s| {
+            matches!(
+                s,
+                MemberStatus::Loading | MemberStatus::Ready | MemberStatus::Draining
+            )
+        };
+        if found.all(|s| s == MemberStatus::Ready) {
+            self.apply(id, GroupEvent::Complete, None, now);
+        } else if !was_complete && found.all(taken) {
             self.apply(id, GroupEvent::Taken, None, now);
         }
         if let Some(why) = self.drain_reason(id, &found, tree, now) {
@@ -94,10 +101,10 @@
         }
     }
 
-    /// Why a group is to drain, if it is.
+    /// Returns why a group has to drain, if it has to.
     ///
-    /// A leaving member drains its group at once. A change of settings
-    /// drains one group at a time, while all others serve.
+    /// A leaving member drains its group at once. A change of the settings drains one group at a
+    /// time, while all others serve.
     pub(super) fn drain_reason(
         &self,
         id: &GroupId,
@@ -117,9 +124,10 @@
         }
         let unformed = matches!(planned.state, GroupState::Planned | GroupState::Loading);
         let others = self.groups.values().filter(|g| g.row.group != *id);
-        let settled = |g: &Planned| g.state == GroupState::Serving && now - g.since >= SETTLED;
-        let calm = others.into_iter().all(settled);
-        (unformed || calm && !self.unfinished).then_some(EndReason::SettingsChanged)
+        let is_serving =
+            |g: &PlannedGroup| g.state == GroupState::Serving && now - g.since >= MIN_SERVING_TIME;
+        let others_serving = others.into_iter().all(is_serving);
+        (unformed || others_serving && !self.in_transition).then_some(EndReason::SettingsChanged)
     }
 
     pub(super) fn fits_settings(&self, row: &GroupRow, tree: &Tree) -> bool {
@@ -137,13 +145,13 @@
         self.pools.iter().find(has).map(|p| p.key.clone())
     }
 
-    /// Whether a draining group has no streams left, or its time is up.
+    /// Returns whether a draining group has no streams left or has reached its time limit.
     pub(super) fn is_empty(&self, id: &GroupId, view: &View, tree: &Tree, now: Millis) -> bool {
         let Some(planned) = self.groups.get(id) else {
             return false;
         };
         let Some(since) = planned
-            .drained
+            .drain_start
             .filter(|_| planned.state == GroupState::Draining)
         else {
             return false;
@@ -151,12 +159,15 @@
         let context = Context::default()
             .with_region(self.options.region.clone())
             .with_hall(self.options.hall.clone());
-        let limit = tree.resolve(&context).drain_ms.map_or(DRAIN, Millis::new);
+        let limit = tree
+            .resolve(&context)
+            .drain_ms
+            .map_or(DEFAULT_DRAIN_TIMEOUT, Millis::new);
         if now - since >= limit {
             return true;
         }
         let found = planned.assessment.as_ref();
-        let quiesced = found.is_some_and(|a| a.members[0].1 == Standing::Draining);
+        let quiesced = found.is_some_and(|a| a.members[0].1 == MemberStatus::Draining);
         let leader = planned.row.members[0].as_str();
         let figures = view.pressure(leader).filter(|m| m.at > since);
         quiesced && figures.is_some_and(|m| m.pressure.running + m.pressure.waiting == 0)
@@ -176,7 +187,7 @@
             return;
         };
         if next == GroupState::Draining && planned.state != next {
-            planned.drained = Some(now);
+            planned.drain_start = Some(now);
         }
         if planned.state != next {
             planned.since = now;
@@ -187,8 +198,8 @@
         }
     }
 
-    /// The pools of the hall as they stand.
-    pub(super) fn gather(
+    /// Returns the pools of the hall, from the reports, the plan and the settings.
+    pub(super) fn collect_pools(
         &mut self,
         observed: &BTreeMap<InstanceId, Observed>,
         tree: &Tree,
@@ -218,9 +229,9 @@
                     instance: instance.clone(),
                     warm: self.is_warm(instance, &pool.want.load),
                 }),
-                Availability::Soon => pool.ending += 1,
+                Availability::Releasing => pool.ending += 1,
                 Availability::Missing => pool.missing += 1,
-                Availability::Held => {}
+                Availability::InUse => {}
             }
         }
         for planned in self.groups.values() {
@@ -237,13 +248,13 @@
         let mut list: Vec<Pool> = pools.into_values().collect();
         for pool in &mut list {
             pool.steady = self
-                .steadiness
-                .note(&pool.key, &pool.free, &pool.groups, now);
+                .stability
+                .update(&pool.key, &pool.free, &pool.groups, now);
         }
         list
     }
 
-    /// Whether an instance can join a new group.
+    /// Returns whether an instance can join a new group.
     pub(super) fn availability(
         &self,
         instance: &InstanceId,
@@ -259,20 +270,20 @@
                 ObservedState::Idle => Availability::Free,
                 ObservedState::Loading(_)
                 | ObservedState::Ready(_)
-                | ObservedState::Draining(_) => Availability::Soon,
+                | ObservedState::Draining(_) => Availability::Releasing,
                 ObservedState::Lost => Availability::Missing,
-                ObservedState::Service(_) => Availability::Held,
+                ObservedState::Service(_) => Availability::InUse,
             };
         };
         match &held.row.held {
-            Held::Member { .. } => Availability::Held,
+            Held::Member { .. } => Availability::InUse,
             Held::Aside { incarnation } => {
-                let anew = seen.sighting.incarnation != *incarnation;
-                if idle && (anew || self.is_reset(instance)) {
+                let restarted = seen.sighting.incarnation != *incarnation;
+                if idle && (restarted || self.is_reset(instance)) {
                     return Availability::Free;
                 }
-                if now - held.since < ENDING_PATIENCE {
-                    Availability::Soon
+                if now - held.since < RELEASE_TIMEOUT {
+                    Availability::Releasing
                 } else {
                     Availability::Missing
                 }
@@ -280,18 +291,19 @@
         }
     }
 
-    /// Whether a target took a reset of this term.
+    /// Returns whether a target took a reset of this term.
     pub(super) fn is_reset(&self, instance: &InstanceId) -> bool {
         let order = self.orders.get(instance);
         order.is_some_and(|p| p.task == Task::Reset && p.taken)
     }
 
-    /// Whether an instance came out of a group, or was told to load what
-    /// its pool runs.
+    /// Returns whether an instance came out of a group, or took an order to load what its pool
+    /// runs.
     pub(super) fn is_warm(&self, instance: &InstanceId, wanted: &Load) -> bool {
         let order = self.orders.get(instance).filter(|p| p.taken);
-        let told = order.is_some_and(|p| matches!(&p.task, Task::Warm { load } if load == wanted));
-        told || self.held.contains_key(instance)
+        let warmed =
+            order.is_some_and(|p| matches!(&p.task, Task::Warm { load } if load == wanted));
+        warmed || self.held.contains_key(instance)
     }
 
     pub(super) fn decide(
@@ -299,8 +311,8 @@
         observed: &BTreeMap<InstanceId, Observed>,
         tree: &Tree,
         now: Millis,
-    ) -> Change {
-        let mut change = Change::default();
+    ) -> PlanChange {
+        let mut change = PlanChange::default();
         for planned in self.groups.values() {
             if planned.state != GroupState::Ended {
                 continue;
@@ -318,8 +330,8 @@
             for group in &placement.drain {
                 self.apply(group, GroupEvent::Drain, Some(EndReason::Rebalanced), now);
             }
-            let room = self.load_room(tree);
-            for forming in placement.form.into_iter().take(room) {
+            let slots = self.free_load_slots(tree);
+            for forming in placement.form.into_iter().take(slots) {
                 if let Some(row) = self.new_group(forming, now) {
                     change.formed.push(row);
                 }
@@ -329,8 +341,8 @@
     }
 
     pub(super) fn placement(&self, now: Millis) -> Placement {
-        let calm = |p: &&Pool| p.ending == 0 && now - p.steady >= GATHER;
-        let ready: Vec<Pool> = self.pools.iter().filter(calm).cloned().collect();
+        let is_stable = |p: &&Pool| p.ending == 0 && now - p.steady >= FORMING_DELAY;
+        let ready: Vec<Pool> = self.pools.iter().filter(is_stable).cloned().collect();
         match self.options.strategy {
             Strategy::Weighed => place(&ready, now),
             Strategy::FirstFit => first_fit(&ready),
@@ -338,12 +350,15 @@
         }
     }
 
-    /// How many more groups may load weights now.
-    pub(super) fn load_room(&self, tree: &Tree) -> usize {
+    /// Returns how many more groups may load weights now.
+    pub(super) fn free_load_slots(&self, tree: &Tree) -> usize {
         let context = Context::default()
             .with_region(self.options.region.clone())
             .with_hall(self.options.hall.clone());
-        let limit = tree.resolve(&context).loads.unwrap_or(LOADS) as usize;
+        let limit = tree
+            .resolve(&context)
+            .loads
+            .unwrap_or(DEFAULT_CONCURRENT_LOADS) as usize;
         let loading = self.groups.values();
         let busy = loading
             .filter(|g| matches!(g.state, GroupState::Planned | GroupState::Loading))
@@ -354,7 +369,7 @@
     pub(super) fn new_group(&mut self, forming: Forming, now: Millis) -> Option<GroupRow> {
         let term = self.lease.term(now)?;
         let epoch = self.next_epoch(term);
-        let name = format!("{}-{term}.{}", self.options.hall, self.counter);
+        let name = format!("{}-{term}.{}", self.options.hall, self.epoch_counter);
         Some(GroupRow {
             group: GroupId::new(name),
             epoch,
@@ -365,11 +380,11 @@
     }
 
     pub(super) fn next_epoch(&mut self, term: u64) -> u64 {
-        self.counter += 1;
-        (term << EPOCH_BITS) | self.counter
+        self.epoch_counter += 1;
+        (term << EPOCH_COUNTER_BITS) | self.epoch_counter
     }
 
-    pub(super) fn write(&mut self, change: Change) {
+    pub(super) fn write_plan(&mut self, change: PlanChange) {
         if change.ended.is_empty() && change.formed.is_empty() {
             return;
         }
@@ -398,7 +413,7 @@
                 txn = txn.at(key.clone(), version).put(key, &InstanceRow { held });
             }
         }
-        let flight = self.flight(Flight::Plan(change));
+        let flight = self.start_flight(Flight::Plan(change));
         self.out.push(PlanAction::SendTxn { flight, txn });
     }
 }
--- a/crates/thistlesill-policy/src/plan/orders.rs
+++ b/crates/thistlesill-policy/src/plan/orders.rs
@@ -1,15 +1,15 @@
-//! Orders that targets have not followed yet.
+//! Orders that targets have not carried out yet.
 
 use std::collections::BTreeMap;
 
 use thistlesill_core::report::{Fence, OrderReply, Task};
 use thistlesill_core::{InstanceId, Millis};
 
-use super::REPEAT;
+use super::ORDER_RETRY_INTERVAL;
 
-/// An order to one target, kept until it is followed.
+/// An order to one target, kept until the target has carried it out.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct Pending {
+pub(super) struct PendingOrder {
     pub(super) fence: Fence,
     pub(super) incarnation: u64,
     pub(super) task: Task,
@@ -19,18 +19,18 @@
 
 /// The latest order to each target.
 #[derive(Debug, Clone, Default)]
-pub(super) struct OrderBook {
-    pending: BTreeMap<InstanceId, Pending>,
+pub(super) struct PendingOrders {
+    pending: BTreeMap<InstanceId, PendingOrder>,
 }
 
-impl OrderBook {
-    /// The order to a target, if one is kept.
-    pub(super) fn get(&self, instance: &InstanceId) -> Option<&Pending> {
+impl PendingOrders {
+    /// Returns the order to a target, if there is one.
+    pub(super) fn get(&self, instance: &InstanceId) -> Option<&PendingOrder> {
         self.pending.get(instance)
     }
 
-    /// Keeps an order, unless the same one is kept already.
-    pub(super) fn want(
+    /// Sets the order to a target, unless it has the same order already.
+    pub(super) fn set(
         &mut self,
         instance: &InstanceId,
         incarnation: u64,
@@ -44,7 +44,7 @@
         if same {
             return;
         }
-        let pending = Pending {
+        let pending = PendingOrder {
             fence: fence(),
             incarnation,
             task,
@@ -54,17 +54,17 @@
         self.pending.insert(instance.clone(), pending);
     }
 
-    /// Forgets the order to a target.
-    pub(super) fn drop(&mut self, instance: &InstanceId) {
+    /// Removes the order to a target.
+    pub(super) fn discard(&mut self, instance: &InstanceId) {
         self.pending.remove(instance);
     }
 
-    /// Orders to send now; each counts as sent from here on.
-    pub(super) fn due(&mut self, now: Millis) -> Vec<(InstanceId, Pending)> {
+    /// Returns the orders to send now, and marks them as sent.
+    pub(super) fn due(&mut self, now: Millis) -> Vec<(InstanceId, PendingOrder)> {
         let mut due = Vec::new();
         for (instance, pending) in &mut self.pending {
-            let waits = pending.sent.is_some_and(|t| now - t < REPEAT);
-            if pending.taken || waits {
+            let recently_sent = pending.sent.is_some_and(|t| now - t < ORDER_RETRY_INTERVAL);
+            if pending.taken || recently_sent {
                 continue;
             }
             pending.sent = Some(now);
@@ -73,10 +73,10 @@
         due
     }
 
-    /// Takes in an answer.
+    /// Records the answer to an order.
     ///
-    /// A target that says it is a stranger to the order started anew: the
-    /// order is dropped, and its next report tells what it is now.
+    /// A target that answers [`OrderReply::Stranger`] has restarted. Its order is removed, and its
+    /// next report shows its new state.
     pub(super) fn answered(
         &mut self,
         instance: &InstanceId,
@@ -91,20 +91,20 @@
         }
         match reply {
             Some(OrderReply::Taken) => pending.taken = true,
-            Some(OrderReply::Stranger | OrderReply::Stale) => self.drop(instance),
+            Some(OrderReply::Stranger | OrderReply::Stale) => self.discard(instance),
             None => {}
         }
     }
 
-    /// Sends a taken order again when the target's reports show that it was
-    /// not followed.
-    pub(super) fn reopen(&mut self, instance: &InstanceId) {
+    /// Makes an order that was taken due again, because the target's reports show that it did not
+    /// carry the order out.
+    pub(super) fn retry(&mut self, instance: &InstanceId) {
         if let Some(pending) = self.pending.get_mut(instance) {
             pending.taken = false;
         }
     }
 
-    /// Forgets all orders.
+    /// Removes all orders.
     pub(super) fn clear(&mut self) {
         self.pending.clear();
     }
--- a/crates/thistlesill-policy/src/plan/pools.rs
+++ b/crates/thistlesill-policy/src/plan/pools.rs
@@ -1,4 +1,4 @@
-//! The pools of a hall, from the view, the plan and the settings.
+//! The pools of a hall, derived from the view, the plan and the settings.
 
 use std::collections::BTreeMap;
 
@@ -9,10 +9,11 @@
 
 use crate::placement::{Existing, Free, Pool, PoolKey, Want};
 
-/// Values that the root must set, but a tree of an older release may lack.
-const DOWNTIME_WEIGHT: f64 = 0.5;
+/// The downtime weight if the settings have none: the root must set it, but settings of an older
+/// release may lack it.
+const DEFAULT_DOWNTIME_WEIGHT: f64 = 0.5;
 
-/// What the settings want of a pool.
+/// Returns what the settings ask of a pool.
 pub(super) fn want(tree: &Tree, region: &RegionId, hall: &HallId, key: &PoolKey) -> Want {
     let context = Context {
         region: Some(region.clone()),
@@ -29,7 +30,7 @@
             .into_iter()
             .filter(|s| s.generation == key.generation)
             .collect(),
-        downtime_weight: values.downtime_weight.unwrap_or(DOWNTIME_WEIGHT),
+        downtime_weight: values.downtime_weight.unwrap_or(DEFAULT_DOWNTIME_WEIGHT),
         spares: values.spares.unwrap_or(0),
     }
 }
@@ -43,7 +44,7 @@
     }
 }
 
-/// The pool that an instance belongs to; `None` for a plain service.
+/// Returns the pool that an instance belongs to, or `None` if it runs a plain service.
 pub(super) fn pool_of(sighting: &Sighting) -> Option<PoolKey> {
     let plain = matches!(sighting.state, ObservedState::Service(_));
     (!plain).then(|| PoolKey {
@@ -52,22 +53,22 @@
     })
 }
 
-/// Remembers since when each pool has been as it is.
+/// Records since when each pool has had the same contents.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Steadiness {
-    seen: BTreeMap<PoolKey, Shot>,
+pub(super) struct PoolStability {
+    contents: BTreeMap<PoolKey, PoolContents>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Shot {
+struct PoolContents {
     free: Vec<InstanceId>,
     groups: Vec<GroupId>,
     since: Millis,
 }
 
-impl Steadiness {
-    /// Since when a pool's free instances and groups have been these.
-    pub(super) fn note(
+impl PoolStability {
+    /// Returns since when a pool has had these free instances and groups.
+    pub(super) fn update(
         &mut self,
         key: &PoolKey,
         free: &[Free],
@@ -76,33 +77,33 @@
     ) -> Millis {
         let free: Vec<InstanceId> = free.iter().map(|f| f.instance.clone()).collect();
         let groups: Vec<GroupId> = groups.iter().map(|g| g.group.clone()).collect();
-        if let Some(shot) = self.seen.get(key)
-            && shot.free == free
-            && shot.groups == groups
+        if let Some(known) = self.contents.get(key)
+            && known.free == free
+            && known.groups == groups
         {
-            return shot.since;
+            return known.since;
         }
-        let shot = Shot {
+        let known = PoolContents {
             free,
             groups,
             since: now,
         };
-        self.seen.insert(key.clone(), shot);
+        self.contents.insert(key.clone(), known);
         now
     }
 }
 
-/// Why a pool's free instances form no group, in words.
-pub(super) fn why_free(pool: &Pool) -> String {
+/// Describes why a pool's free instances form no group.
+pub(super) fn describe_free(pool: &Pool) -> String {
     let free = pool.free.len() as u32;
-    let least = pool.want.shapes.iter().map(|s| s.instances).min();
-    match least {
+    let smallest = pool.want.shapes.iter().map(|s| s.instances).min();
+    match smallest {
         None => "no shape in the settings fits this generation".to_owned(),
-        Some(least) if free < least => {
-            format!("{free} free, the smallest shape takes {least}")
+        Some(smallest) if free < smallest => {
+            format!("{free} free, the smallest shape takes {smallest}")
         }
         Some(_) if pool.ending > 0 => {
-            format!("waits for {} instances that come free", pool.ending)
+            format!("waits for {} instances to come free", pool.ending)
         }
         Some(_) => format!("{free} free, kept as spares or about to be used"),
     }
