--- a/crates/thistlesill-policy/examples/placement.rs
+++ b/crates/thistlesill-policy/examples/placement.rs
@@ -1,7 +1,7 @@
-//! # Placement by weight
+//! # Placement by downtime weight
 //!
-//! Places the same eleven instances once for an operator that weighs group
-//! downtime and once for one that weighs stranded accelerators.
+//! Places the same eleven instances twice: for an operator that weighs the downtime of groups, and
+//! for one that weighs stranded accelerators.
 //!
 //! Run with `cargo run -p thistlesill-policy --example placement`.
 
--- a/crates/thistlesill-policy/src/charts.rs
+++ b/crates/thistlesill-policy/src/charts.rs
@@ -1,21 +1,21 @@
-//! The state charts, read from the files in `charts/` at build time and
-//! checked when a daemon starts.
+//! The state charts, which are embedded from the files in `charts/` at build time and checked when
+//! a daemon starts.
 
 use thistlesill_core::chart::{Chart, ChartError};
 use thistlesill_core::symbols;
 
 symbols! {
-    /// Where a request stands.
+    /// The state of a request.
     RequestState {
-        /// Read, nothing decided.
+        /// Received; nothing has been decided.
         Arrived = "arrived",
-        /// Its claim is under way.
+        /// The claim on its key is in flight.
         Claiming = "claiming",
-        /// Waits to be sent.
+        /// Waits to be sent to a target.
         Queued = "queued",
-        /// Sent, no token yet.
+        /// Sent to a target; no token has arrived.
         Sent = "sent",
-        /// Tokens arrive.
+        /// Tokens are arriving.
         Streaming = "streaming",
         /// Has its final answer.
         Ended = "ended",
@@ -23,141 +23,141 @@
 }
 
 symbols! {
-    /// What happens to a request.
+    /// An event in the life cycle of a request.
     RequestEvent {
-        /// A claim is asked for.
+        /// A claim was requested.
         Claim = "claim",
-        /// It joins the queue.
+        /// The request joined the queue.
         Queue = "queue",
-        /// It goes to a target.
+        /// The request was sent to a target.
         Send = "send",
-        /// A token arrives.
+        /// A token arrived.
         Token = "token",
-        /// It may be sent again.
+        /// The request may be sent again.
         Requeue = "requeue",
-        /// Its answer is whole.
+        /// The answer is complete.
         Finish = "finish",
-        /// It gets an error.
+        /// The request ends with an error.
         Fail = "fail",
     }
 }
 
 symbols! {
-    /// Where a claim stands.
+    /// The state of a claim.
     ClaimState {
         /// Not written yet.
         Waiting = "waiting",
-        /// A transaction is under way.
+        /// A transaction that inserts the row is in flight.
         Writing = "writing",
-        /// The row must be read to know.
+        /// The row has to be read to decide the claim.
         Unsure = "unsure",
-        /// The key is ours.
+        /// The request owns the key.
         Granted = "granted",
-        /// The key belongs to another request.
+        /// Another request owns the key.
         Taken = "taken",
-        /// Given up.
+        /// Given up before it was decided.
         Refused = "refused",
     }
 }
 
 symbols! {
-    /// What happens to a claim.
+    /// An event in the life cycle of a claim.
     ClaimEvent {
-        /// It goes into a transaction.
+        /// The claim was put into a transaction.
         Write = "write",
         /// The transaction committed.
         Committed = "committed",
-        /// The row existed.
+        /// The row existed already.
         Conflict = "conflict",
-        /// The answer was lost.
+        /// The answer to the transaction was lost.
         Lost = "lost",
-        /// The row holds this request.
+        /// The row that was read holds this request.
         Mine = "mine",
-        /// The row holds another request.
+        /// The row that was read holds another request.
         Other = "other",
         /// There is no row.
         None = "none",
-        /// Time is up.
+        /// The claim took too long or its caller disconnected.
         GiveUp = "give_up",
     }
 }
 
 symbols! {
-    /// Where a planner stands with a hall's lease.
+    /// The state of a planner with regard to the lease of a hall.
     LeaseState {
-        /// Another holds it, or nobody.
+        /// Another planner holds the lease, or none does.
         Watching = "watching",
-        /// Asked for it.
+        /// A takeover is in flight.
         Asking = "asking",
-        /// Asked, and the answer was lost.
+        /// The answer to a takeover was lost.
         Unsure = "unsure",
-        /// Holds it.
+        /// This planner holds the lease.
         Holding = "holding",
-        /// Holds it and asked to renew.
+        /// Holds the lease; a renewal is in flight.
         Renewing = "renewing",
-        /// Holds it; the answer to a renewal was lost.
+        /// Holds the lease; the answer to a renewal was lost.
         Doubting = "doubting",
     }
 }
 
 symbols! {
-    /// What happens to a lease.
+    /// An event in the life cycle of a lease.
     LeaseEvent {
-        /// A write is sent.
+        /// A takeover or renewal was sent.
         Ask = "ask",
         /// The write took effect.
         Granted = "granted",
-        /// Another holds it.
+        /// Another planner holds the lease.
         Denied = "denied",
-        /// The answer was lost.
+        /// The answer to the write was lost.
         Lost = "lost",
-        /// Our time is over.
+        /// The lease ran out without a renewal.
         Lapse = "lapse",
-        /// We gave it up.
+        /// This planner gave the lease up.
         Release = "release",
     }
 }
 
 symbols! {
-    /// Where a planned group stands.
+    /// The state of a planned group.
     GroupState {
-        /// In the table.
+        /// In the plan; not all members have taken their orders.
         Planned = "planned",
-        /// Its members load.
+        /// All members have taken their orders, and some still load weights.
         Loading = "loading",
         /// All members are ready.
         Serving = "serving",
         /// Takes no new requests.
         Draining = "draining",
-        /// To be taken out of the plan.
+        /// To be removed from the plan.
         Ended = "ended",
     }
 }
 
 symbols! {
-    /// What happens to a planned group.
+    /// An event in the life cycle of a planned group.
     GroupEvent {
         /// All members took their orders.
         Taken = "taken",
         /// All members are ready.
         Complete = "whole",
-        /// It is to stop without cutting streams.
+        /// The group has to end without cutting off streams.
         Drain = "drain",
-        /// No streams are left, or their time is up.
+        /// No streams are left, or the drain reached its time limit.
         Emptied = "emptied",
-        /// It is to end at once.
+        /// The group has to end at once.
         End = "end",
     }
 }
 
 symbols! {
-    /// Where a stopping daemon stands.
+    /// The state of a daemon's shutdown.
     DrainState {
         /// Not stopping.
         Serving = "serving",
-        /// Fails its health check, still accepts.
+        /// Fails its health check and still accepts requests.
         Failing = "failing",
-        /// Accepts nothing new.
+        /// Accepts no new requests.
         Closing = "closing",
         /// May exit.
         Done = "done",
@@ -165,40 +165,40 @@
 }
 
 symbols! {
-    /// What happens to a stopping daemon.
+    /// An event in the shutdown of a daemon.
     DrainEvent {
-        /// It is told to stop.
+        /// The daemon has to stop.
         Stop = "stop",
-        /// The balancer has had time to notice.
+        /// Load balancers have had time to notice the failing health check.
         BalancerPassed = "balancer_passed",
-        /// Nothing is under way.
+        /// No request is in flight.
         Idle = "idle",
-        /// The time for streams is over.
+        /// The time limit for requests in flight was reached.
         Timeout = "timeout",
     }
 }
 
-/// The checked charts.
+/// All state charts, parsed and checked.
 #[derive(Debug, Clone)]
 pub struct Charts {
-    /// Of a request.
+    /// The chart of a request.
     pub request: Chart<RequestState, RequestEvent>,
-    /// Of a claim.
+    /// The chart of a claim.
     pub claim: Chart<ClaimState, ClaimEvent>,
-    /// Of a lease.
+    /// The chart of a lease.
     pub lease: Chart<LeaseState, LeaseEvent>,
-    /// Of a group.
+    /// The chart of a planned group.
     pub group: Chart<GroupState, GroupEvent>,
-    /// Of a stopping daemon.
+    /// The chart of a daemon's shutdown.
     pub drain: Chart<DrainState, DrainEvent>,
 }
 
 impl Charts {
-    /// Reads and checks all charts.
+    /// Parses and checks all charts.
     ///
     /// # Errors
     ///
-    /// The first [`ChartError`] found.
+    /// Returns the first [`ChartError`] found.
     pub fn load() -> Result<Self, ChartError> {
         Ok(Self {
             request: Chart::parse("request", include_str!("../../../charts/request.jsonc"))?,
--- a/crates/thistlesill-policy/src/drain.rs
+++ b/crates/thistlesill-policy/src/drain.rs
@@ -1,69 +1,71 @@
-//! How a daemon stops without cutting off a request.
+//! Graceful shutdown of a daemon: finishes the requests in flight before the daemon exits.
 
 use thistlesill_core::Millis;
 use thistlesill_core::chart::Chart;
 
 use crate::charts::{DrainEvent, DrainState};
 
-/// A daemon's stop, driven by its chart.
+/// The shutdown of a daemon, driven by its state chart.
 #[derive(Debug, Clone)]
 pub struct Drain {
     chart: Chart<DrainState, DrainEvent>,
     state: DrainState,
-    balancer: Millis,
-    limit: Millis,
-    since: Millis,
+    balancer_grace: Millis,
+    stop_timeout: Millis,
+    stopped_at: Millis,
 }
 
 impl Drain {
-    /// A daemon that serves.
+    /// Creates the state of a daemon that serves.
     ///
-    /// `balancer` is how long it accepts requests after its health check
-    /// fails; `limit` is the longest that it waits for streams after that.
+    /// `balancer_grace` is how long the daemon accepts requests after its health check starts to
+    /// fail, which gives load balancers time to notice. `stop_timeout` is how long it waits after
+    /// that for requests in flight.
     pub const fn new(
         chart: Chart<DrainState, DrainEvent>,
-        balancer: Millis,
-        limit: Millis,
+        balancer_grace: Millis,
+        stop_timeout: Millis,
     ) -> Self {
         Self {
             state: chart.start(),
             chart,
-            balancer,
-            limit,
-            since: Millis::ZERO,
+            balancer_grace,
+            stop_timeout,
+            stopped_at: Millis::ZERO,
         }
     }
 
-    /// Where the stop stands.
+    /// Returns the state of the shutdown.
     pub const fn state(&self) -> DrainState {
         self.state
     }
 
-    /// Whether new requests are taken.
+    /// Returns whether the daemon accepts new requests.
     pub const fn accepts(&self) -> bool {
         matches!(self.state, DrainState::Serving | DrainState::Failing)
     }
 
-    /// Whether the health check passes.
+    /// Returns whether the health check passes.
     pub const fn healthy(&self) -> bool {
         matches!(self.state, DrainState::Serving)
     }
 
-    /// Tells the daemon to stop.
+    /// Starts the shutdown.
     pub fn stop(&mut self, now: Millis) {
         if self.state == DrainState::Serving {
-            self.since = now;
+            self.stopped_at = now;
         }
         self.apply(DrainEvent::Stop);
     }
 
-    /// Looks at the time and at the number of requests under way.
+    /// Advances the shutdown to `now`, with the number of requests in flight, and returns its
+    /// state.
     pub fn tick(&mut self, now: Millis, under_way: usize) -> DrainState {
-        let spent = now - self.since;
-        if spent >= self.balancer {
+        let elapsed = now - self.stopped_at;
+        if elapsed >= self.balancer_grace {
             self.apply(DrainEvent::BalancerPassed);
         }
-        if spent >= self.balancer + self.limit {
+        if elapsed >= self.balancer_grace + self.stop_timeout {
             self.apply(DrainEvent::Timeout);
         }
         if under_way == 0 {
--- a/crates/thistlesill-policy/src/placement.rs
+++ b/crates/thistlesill-policy/src/placement.rs
@@ -1,8 +1,8 @@
-//! Which instances form which groups.
+//! Placement: which instances form which groups.
 //!
-//! Placement looks at one hall at a time, and within it at each pool: the
-//! instances of one generation in one fabric domain. What serves stays where
-//! it is; lost groups are repaired before anything is improved.
+//! Each pool of a hall is placed on its own; a pool is the instances of one generation in one
+//! fabric domain. Serving groups stay where they are, and lost groups are repaired before any
+//! packing is improved.
 
 mod baseline;
 mod pack;
@@ -17,7 +17,7 @@
 pub use pack::{best_use, pack};
 pub use place::place;
 
-/// Names the instances that can form groups together.
+/// Identifies a pool: the instances that can form groups with each other.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct PoolKey {
     /// The fabric domain.
@@ -26,16 +26,16 @@
     pub generation: Generation,
 }
 
-/// What the settings want of a pool.
+/// What the settings ask of a pool.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Want {
-    /// What groups run.
+    /// What the groups run.
     pub load: Load,
-    /// Shapes for the pool's generation, best first.
+    /// The shapes for the pool's generation, best first.
     pub shapes: Vec<Shape>,
-    /// Weight of downtime against stranded accelerators, 0 to 1.
+    /// The weight of downtime against stranded accelerators, from 0 to 1.
     pub downtime_weight: f64,
-    /// Instances to keep ready.
+    /// The number of free instances to keep in reserve.
     pub spares: u32,
 }
 
@@ -44,8 +44,8 @@
 pub struct Free {
     /// The instance.
     pub instance: InstanceId,
-    /// Whether it held what the pool wants when it last reported, so that
-    /// its weights may still be in memory.
+    /// Whether the instance held the pool's load when it last reported, so that the weights may
+    /// still be in its memory.
     pub warm: bool,
 }
 
@@ -54,28 +54,26 @@
 pub struct Existing {
     /// The group.
     pub group: GroupId,
-    /// How many members it has.
+    /// The number of members.
     pub size: u32,
-    /// Whether it serves what the pool wants and could be broken up for a
-    /// better packing.
+    /// Whether the group serves what the pool wants and could be broken up for a better packing.
     pub settled: bool,
 }
 
-/// A pool as it stands.
+/// The contents of a pool and what is asked of it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Pool {
-    /// Its name.
+    /// Identifies the pool.
     pub key: PoolKey,
-    /// What is wanted of it.
+    /// What the settings ask of the pool.
     pub want: Want,
-    /// Its free instances.
+    /// The free instances.
     pub free: Vec<Free>,
-    /// Its groups.
+    /// The existing groups.
     pub groups: Vec<Existing>,
-    /// Usable instances that come free soon: members of groups that end.
+    /// The number of usable instances that will come free soon, because their groups end.
     pub ending: u32,
-    /// Instances of the pool that are listed and cannot be used now. The
-    /// spares stand in for them.
+    /// The number of listed instances that cannot be used now. Spares replace them.
     pub missing: u32,
     /// Since when the pool's free instances and groups have been the same.
     pub steady: Millis,
@@ -84,21 +82,21 @@
 /// A group to form.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Forming {
-    /// Where.
+    /// The pool of the members.
     pub pool: PoolKey,
-    /// Members in order of rank.
+    /// The members in order of rank.
     pub members: Vec<InstanceId>,
-    /// What it runs.
+    /// What the group runs.
     pub load: Load,
-    /// How many of the members must load weights.
+    /// The number of members that have to load weights.
     pub cold: u32,
 }
 
-/// What placement decides.
+/// The groups to form and to drain.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Placement {
-    /// Groups to form, the one that ends most downtime first.
+    /// The groups to form, in the order of instances gained per weight load.
     pub form: Vec<Forming>,
-    /// Serving groups to drain so that their members serve better elsewhere.
+    /// Serving groups to drain so that their members can be packed better.
     pub drain: Vec<GroupId>,
 }
--- a/crates/thistlesill-policy/src/placement/baseline.rs
+++ b/crates/thistlesill-policy/src/placement/baseline.rs
@@ -1,9 +1,9 @@
-//! Plain placements that the shipped one is measured against.
+//! Simple placements as baselines for [`place`](super::place).
 
 use super::{Forming, Placement, Pool, pack};
 
-/// First fit: takes the first shape that fits the free instances, keeps no
-/// spare, prefers no warm instance and never breaks anything up.
+/// Forms groups first fit: takes the first shape that fits the free instances, keeps no spares,
+/// ignores which instances are warm and never breaks up a group.
 pub fn first_fit(pools: &[Pool]) -> Placement {
     let mut placement = Placement::default();
     for pool in pools {
@@ -29,8 +29,8 @@
     placement
 }
 
-/// Rebuild from scratch: whenever the best packing of all usable instances
-/// differs from what stands, breaks up every group that is not in it.
+/// Rebuilds from scratch: whenever the best packing of all usable instances differs from the
+/// existing groups, breaks up every group that is not part of it.
 pub fn rebuild(pools: &[Pool]) -> Placement {
     let mut placement = first_fit(&[]);
     for pool in pools {
--- a/crates/thistlesill-policy/src/placement/pack.rs
+++ b/crates/thistlesill-policy/src/placement/pack.rs
@@ -1,9 +1,11 @@
-//! The best way to fill a number of instances with shapes.
+//! The best packing of a number of instances into shapes.
 
 use thistlesill_core::settings::Shape;
 
-/// The sizes of the groups that use most of `count` instances; of several
-/// ways, the one with the fewest groups, so that the larger shapes win.
+/// Returns the sizes of the groups that use as many of `count` instances as possible.
+///
+/// Of several such packings the one with the fewest groups is returned, which prefers larger
+/// shapes.
 ///
 /// # Examples
 ///
@@ -17,7 +19,7 @@
 /// ```
 pub fn pack(count: u32, shapes: &[Shape]) -> Vec<u32> {
     let sizes = sizes(shapes);
-    let best = table(count, &sizes);
+    let best = best_steps(count, &sizes);
     let mut left = (0..=count)
         .rev()
         .find(|n| best[*n as usize].is_some())
@@ -31,7 +33,7 @@
     packing
 }
 
-/// How many of `count` instances the best packing uses.
+/// Returns how many of `count` instances the best packing uses.
 pub fn best_use(count: u32, shapes: &[Shape]) -> u32 {
     pack(count, shapes).iter().sum()
 }
@@ -42,9 +44,9 @@
     size: u32,
 }
 
-/// For each number of instances up to `count`, the last group of the packing
-/// that fills it exactly with the fewest groups.
-fn table(count: u32, sizes: &[u32]) -> Vec<Option<Step>> {
+/// Returns, for each number of instances up to `count`, the last group of the packing that fills it
+/// exactly with the fewest groups.
+fn best_steps(count: u32, sizes: &[u32]) -> Vec<Option<Step>> {
     let mut best: Vec<Option<Step>> = vec![None; count as usize + 1];
     best[0] = Some(Step { groups: 0, size: 0 });
     for n in 1..=count {
--- a/crates/thistlesill-policy/src/placement/place.rs
+++ b/crates/thistlesill-policy/src/placement/place.rs
@@ -1,23 +1,23 @@
-//! The shipped placement.
+//! The default placement.
 
 use super::{Forming, Free, Placement, Pool, best_use, pack};
 use thistlesill_core::Millis;
 
-/// How long a gain in used instances is expected to last, in seconds: the
-/// time between failures within a pool.
-const HORIZON: f64 = 3_600.0;
-/// Seconds for which an instance of a broken-up group serves nothing: its
-/// drain and a load of weights.
-const MOVE_COST: f64 = 90.0;
-/// How long a pool must be steady before it is repacked: members that were
-/// lost for a moment come back within this.
-const SETTLE: Millis = Millis::new(30_000);
+/// How long a gain in used instances is expected to last, in seconds: the time between failures
+/// within a pool.
+const GAIN_HORIZON_SECONDS: f64 = 3_600.0;
+/// How long an instance of a broken-up group does not serve, in seconds: the drain and a load of
+/// weights.
+const MOVE_COST_SECONDS: f64 = 90.0;
+/// How long a pool must be unchanged before it is repacked. Members that were lost for a moment
+/// come back within this time.
+const MIN_STABLE_TIME: Millis = Millis::new(30_000);
 
-/// Decides what each pool forms and drains.
+/// Decides which groups each pool forms and drains.
 ///
-/// The weight decides twice: a pool that weighs downtime keeps its spares
-/// ready and seldom breaks up what serves, one that weighs stranded
-/// accelerators fills up and repacks when the gain outweighs the move.
+/// The downtime weight decides this in two ways. A pool that weighs downtime keeps its spares free
+/// and seldom breaks up a serving group. A pool that weighs stranded accelerators uses all
+/// instances and repacks when the gain outweighs the cost of the move.
 pub fn place(pools: &[Pool], now: Millis) -> Placement {
     let mut placement = Placement::default();
     for pool in pools {
@@ -26,8 +26,8 @@
             placement.drain.extend(repack(pool, now));
         }
     }
-    // A group with few cold members is back soonest, a larger one serves
-    // more: most instances per load first.
+    // A group with few cold members is ready soonest, and a larger group serves more: the groups
+    // with the most instances per weight load go first.
     placement.form.sort_by(|a, b| {
         let gain = |f: &Forming| f.members.len() as f64 / f64::from(f.cold + 1);
         gain(b).total_cmp(&gain(a))
@@ -35,7 +35,7 @@
     placement
 }
 
-/// Forms groups from free instances.
+/// Returns the groups to form from free instances.
 fn fill(pool: &Pool) -> Vec<Forming> {
     let free = pool.free.len() as u32;
     let keep = spares_kept(pool, free);
@@ -56,11 +56,11 @@
     forming
 }
 
-/// How many free instances stay free.
+/// Returns how many free instances to keep as spares.
 ///
-/// Spares are kept where downtime weighs more, and only while what they
-/// strand in addition does not outweigh them. Each instance that is missing
-/// takes a spare's place: that is what the spare was kept for.
+/// Spares are kept where downtime weighs more, and only as long as the instances that they strand
+/// do not outweigh them. Each missing instance uses up a spare, since replacing it is what the
+/// spare was kept for.
 fn spares_kept(pool: &Pool, free: u32) -> u32 {
     let weight = pool.want.downtime_weight;
     let spares = pool.want.spares.saturating_sub(pool.missing).min(free);
@@ -80,11 +80,11 @@
     if affordable { spares } else { 0 }
 }
 
-/// Serving groups to drain for a packing that uses more instances.
+/// Returns the serving groups to drain for a packing that uses more instances.
 fn repack(pool: &Pool, now: Millis) -> Vec<thistlesill_core::GroupId> {
-    let calm = pool.ending == 0 && now - pool.steady >= SETTLE;
+    let stable = pool.ending == 0 && now - pool.steady >= MIN_STABLE_TIME;
     let settled = pool.groups.iter().all(|g| g.settled);
-    if !calm || !settled || pool.free.is_empty() {
+    if !stable || !settled || pool.free.is_empty() {
         return Vec::new();
     }
     let used: u32 = pool.groups.iter().map(|g| g.size).sum();
@@ -106,8 +106,8 @@
         }
     }
     let weight = pool.want.downtime_weight;
-    let gain = (1.0 - weight) * f64::from(gained) * HORIZON;
-    let cost = weight * f64::from(moved) * MOVE_COST;
+    let gain = (1.0 - weight) * f64::from(gained) * GAIN_HORIZON_SECONDS;
+    let cost = weight * f64::from(moved) * MOVE_COST_SECONDS;
     let wanted = if weight >= 0.5 { pool.want.spares } else { 0 };
     let spares = wanted.saturating_sub(pool.missing);
     let left_over = total - used - gained;
--- a/crates/thistlesill-policy/src/planner.rs
+++ b/crates/thistlesill-policy/src/planner.rs
@@ -1,5 +1,5 @@
-//! The planner daemon's decisions: which targets to watch, what to tell the
-//! peers, and the plans of the halls.
+//! The logic of the planner daemon: which targets to watch, what to send to peers, and the plans of
+//! the halls.
 
 mod message;
 
@@ -19,19 +19,19 @@
 
 pub use self::message::{InstanceInfo, PlannerAction, PlannerEvent, PlannerOptions, PlannerStatus};
 
-/// Presence window while no branch sets one.
-const PRESENCE: Millis = Millis::new(4_000);
-/// Silence after which a planner counts as dead.
-const SILENT: Millis = Millis::new(2_500);
-/// How long a watcher that is silent is remembered.
-const FORGET: Millis = Millis::new(60_000);
-/// Between two messages about the settings' head, beside the one that is sent
-/// at once when a revision comes into force.
-const HEAD_GAP: Millis = Millis::new(2_000);
-/// How much earlier a lease holder stops than others may take over.
+/// How long a report of a target counts, unless the settings say otherwise.
+const DEFAULT_PRESENCE_WINDOW: Millis = Millis::new(4_000);
+/// How long a planner may send no heartbeat before it counts as dead.
+const PLANNER_TIMEOUT: Millis = Millis::new(2_500);
+/// How long a watcher that sends nothing is kept in the view.
+const WATCHER_RETENTION: Millis = Millis::new(60_000);
+/// The interval between messages about the head of the settings. Another one is sent at once when a
+/// revision comes into force.
+const HEAD_INTERVAL: Millis = Millis::new(2_000);
+/// How much earlier the holder of a lease stops using it than others may take it over.
 const LEASE_MARGIN: Millis = Millis::new(1_500);
 
-/// The planner's state.
+/// The state of a planner.
 #[derive(Debug, Clone)]
 pub struct PlannerCore {
     options: PlannerOptions,
@@ -43,19 +43,19 @@
     halls: BTreeMap<HallId, HallPlanner>,
     assigned: Vec<Watcher>,
     reassign: bool,
-    beaten: Option<Millis>,
-    planned: Option<Millis>,
-    told_head: Millis,
+    last_heartbeat: Option<Millis>,
+    last_plan: Option<Millis>,
+    last_head_sent: Millis,
     stopping: bool,
     out: Vec<PlannerAction>,
 }
 
 impl PlannerCore {
-    /// A planner that knows nothing yet.
+    /// Creates a planner without settings, targets or leases.
     ///
     /// # Errors
     ///
-    /// A [`ChartError`] if a state chart does not pass its check.
+    /// Returns a [`ChartError`] if a state chart does not pass its check.
     pub fn new(options: PlannerOptions) -> Result<Self, ChartError> {
         Ok(Self {
             charts: Charts::load()?,
@@ -66,31 +66,31 @@
             halls: BTreeMap::new(),
             assigned: Vec::new(),
             reassign: false,
-            beaten: None,
-            planned: None,
-            told_head: Millis::ZERO,
+            last_heartbeat: None,
+            last_plan: None,
+            last_head_sent: Millis::ZERO,
             stopping: false,
             out: Vec::new(),
             options,
         })
     }
 
-    /// The settings in force.
+    /// Returns the settings in force, if any have been received.
     pub const fn tree(&self) -> Option<&Arc<Tree>> {
         self.tree.as_ref()
     }
 
-    /// Whether the planner has settings and is not stopping.
+    /// Returns whether the planner has settings and is not stopping.
     pub const fn is_ready(&self) -> bool {
         self.tree.is_some() && !self.stopping
     }
 
-    /// The view of all targets.
+    /// Returns the view of all targets.
     pub const fn view(&self) -> &View {
         &self.view
     }
 
-    /// Figures for operators.
+    /// Returns the planner's figures for operators.
     pub fn status(&self, now: Millis) -> PlannerStatus {
         let held = self.halls.iter().filter(|(_, h)| h.term(now).is_some());
         PlannerStatus {
@@ -101,12 +101,12 @@
         }
     }
 
-    /// The plans for operators.
+    /// Returns the plans of all halls for operators.
     pub fn halls(&self, now: Millis) -> Vec<HallInfo> {
         self.halls.values().map(|h| h.info(now)).collect()
     }
 
-    /// The instances for operators.
+    /// Returns the instances that any watcher knows, for operators.
     pub fn instances(&self, now: Millis) -> Vec<InstanceInfo> {
         let all = self.view.observe_all(now, self.window());
         let info = |seen: Observed| InstanceInfo {
@@ -116,7 +116,7 @@
         all.into_values().map(info).collect()
     }
 
-    /// Takes in an event at `now` and returns what to do.
+    /// Handles an event at `now` and returns the actions to take.
     pub fn step(&mut self, event: PlannerEvent, now: Millis) -> Vec<PlannerAction> {
         match event {
             PlannerEvent::Listed(listed) => self.list(listed),
@@ -124,8 +124,8 @@
                 self.watch.reported(*report, started, now);
             }
             PlannerEvent::Beat { from, beat, lag } => {
-                let heard = self.view.beat(&from, &beat, lag, now);
-                self.ask_if_missed(heard, from);
+                let received = self.view.beat(&from, &beat, lag, now);
+                self.request_missed(received, from);
             }
             PlannerEvent::Digest { from, part, lag } => {
                 self.view.digest(&from, &part, lag, now);
@@ -162,8 +162,8 @@
         std::mem::take(&mut self.out)
     }
 
-    fn ask_if_missed(&mut self, heard: Heard, from: NodeId) {
-        if heard == Heard::AskDigest {
+    fn request_missed(&mut self, received: Heard, from: NodeId) {
+        if received == Heard::AskDigest {
             self.out.push(PlannerAction::AskDigest(from));
         }
     }
@@ -183,8 +183,8 @@
         self.out.push(PlannerAction::TellHead(revision));
     }
 
-    /// Takes over the list. A list that is empty is not believed: the
-    /// platform answers so when it has lost sight of all.
+    /// Replaces the list of instances. An empty list after one with instances is ignored, because
+    /// the platform returns one when it has lost track of all instances.
     fn list(&mut self, listed: Vec<ListedInstance>) {
         if listed.is_empty() && !self.listed.is_empty() {
             return;
@@ -205,8 +205,8 @@
     }
 
     fn hall_planner(&self, hall: &HallId) -> HallPlanner {
-        let near = *hall == self.options.hall;
-        let courtesy = if near {
+        let is_own_hall = *hall == self.options.hall;
+        let courtesy = if is_own_hall {
             Millis::ZERO
         } else {
             self.options.lease
@@ -228,13 +228,15 @@
 
     fn window(&self) -> Millis {
         let Some(tree) = &self.tree else {
-            return PRESENCE;
+            return DEFAULT_PRESENCE_WINDOW;
         };
         let context = Context::default()
             .with_region(self.options.region.clone())
             .with_hall(self.options.hall.clone());
         let values = tree.resolve(&context);
-        values.presence_ms.map_or(PRESENCE, Millis::new)
+        values
+            .presence_ms
+            .map_or(DEFAULT_PRESENCE_WINDOW, Millis::new)
     }
 
     fn plan_step(&mut self, hall: &HallId, event: PlanEvent, now: Millis) {
@@ -270,15 +272,18 @@
         let due = self.watch.due(now);
         let probes = due.into_iter().map(|(_, at)| PlannerAction::Probe(at));
         self.out.extend(probes);
-        if self.beaten.is_none_or(|t| now - t >= self.options.beat) {
-            self.beaten = Some(now);
+        if self
+            .last_heartbeat
+            .is_none_or(|t| now - t >= self.options.beat)
+        {
+            self.last_heartbeat = Some(now);
             self.beat(now);
         }
-        if self.planned.is_none_or(|t| now - t >= self.options.plan) {
-            self.planned = Some(now);
+        if self.last_plan.is_none_or(|t| now - t >= self.options.plan) {
+            self.last_plan = Some(now);
             self.plan(now);
         }
-        self.tell_head(now);
+        self.send_head(now);
     }
 
     fn assign(&mut self, now: Millis) {
@@ -286,18 +291,18 @@
         if alive == self.assigned && !self.reassign {
             return;
         }
-        let mine = share(&self.options.name, &alive, &self.listed);
-        self.watch.assign(&mine, now);
+        let own_share = share(&self.options.name, &alive, &self.listed);
+        self.watch.assign(&own_share, now);
         self.assigned = alive;
         self.reassign = false;
     }
 
-    /// The planners that are alive, this one included.
+    /// Returns the planners that are alive, including this one.
     fn alive(&self, now: Millis) -> Vec<Watcher> {
-        let heard = self.view.alive(now, SILENT);
+        let heartbeating = self.view.alive(now, PLANNER_TIMEOUT);
         let others = self.options.planners.iter();
         let mut alive: Vec<Watcher> = others
-            .filter(|w| heard.contains(&w.name))
+            .filter(|w| heartbeating.contains(&w.name))
             .cloned()
             .collect();
         alive.push(Watcher {
@@ -309,14 +314,14 @@
 
     fn beat(&mut self, now: Millis) {
         let beat = self.watch.beat(now);
-        let heard = self.view.beat(&self.options.name, &beat, 0, now);
-        if heard == Heard::AskDigest {
+        let received = self.view.beat(&self.options.name, &beat, 0, now);
+        if received == Heard::AskDigest {
             for part in self.watch.digest(now) {
                 self.view.digest(&self.options.name, &part, 0, now);
             }
         }
         self.out.push(PlannerAction::TellBeat(beat));
-        self.view.forget(now, FORGET);
+        self.view.forget(now, WATCHER_RETENTION);
     }
 
     fn plan(&mut self, now: Millis) {
@@ -334,16 +339,16 @@
         }
     }
 
-    fn tell_head(&mut self, now: Millis) {
+    fn send_head(&mut self, now: Millis) {
         let Some(tree) = &self.tree else { return };
-        if now - self.told_head >= HEAD_GAP {
-            self.told_head = now;
+        if now - self.last_head_sent >= HEAD_INTERVAL {
+            self.last_head_sent = now;
             let revision = tree.revision();
             self.out.push(PlannerAction::TellHead(revision));
         }
     }
 
-    /// Gives up all leases, so that others need not wait them out.
+    /// Gives up all leases, so that other planners need not wait for them to run out.
     fn stop(&mut self, now: Millis) {
         self.stopping = true;
         self.out.push(PlannerAction::Note(TimelineEvent::Stopping));
--- a/crates/thistlesill-policy/src/planner/message.rs
+++ b/crates/thistlesill-policy/src/planner/message.rs
@@ -1,5 +1,4 @@
-//! What a planner is started with, what it learns, what it is to do and what it
-//! tells operators.
+//! The options, events and actions of a planner, and the figures that it shows to operators.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,171 +14,171 @@
 use crate::plan::Strategy;
 use crate::presence::Watcher;
 
-/// What a planner is started with.
+/// The options that a planner starts with.
 #[derive(Debug, Clone)]
 pub struct PlannerOptions {
-    /// Its name.
+    /// The planner's name.
     pub name: NodeId,
-    /// Its region.
+    /// The planner's region.
     pub region: RegionId,
-    /// Its hall.
+    /// The planner's hall.
     pub hall: HallId,
-    /// The other planners.
+    /// The other planners and their halls.
     pub planners: Vec<Watcher>,
-    /// Differs between starts, and grows.
+    /// A number that is greater at every start of the planner.
     pub run: u64,
-    /// Between probes.
+    /// The interval between probes of a target.
     pub probe: Millis,
-    /// Between beats.
+    /// The interval between heartbeats.
     pub beat: Millis,
-    /// Between looks at the plan.
+    /// The interval between updates of the plan.
     pub plan: Millis,
-    /// Between renewals of a lease.
+    /// The interval between renewals of a lease.
     pub renew: Millis,
-    /// A lease's length.
+    /// How long a lease lasts without a renewal.
     pub lease: Millis,
-    /// How groups are formed.
+    /// The placement that forms groups.
     pub strategy: Strategy,
 }
 
-/// What a planner learns.
+/// An event that a planner handles.
 #[derive(Debug, Clone, PartialEq)]
 pub enum PlannerEvent {
-    /// The list of instances was read.
+    /// The platform's list of instances was read.
     Listed(Vec<ListedInstance>),
-    /// A probe brought a report.
+    /// A probe returned a report.
     Reported {
-        /// The report.
+        /// The report of the target.
         report: Box<Report>,
         /// When the probe was sent.
         started: Millis,
     },
-    /// A watcher's beat.
+    /// A heartbeat of a watcher arrived.
     Beat {
         /// The watcher.
         from: NodeId,
-        /// The beat.
+        /// The heartbeat.
         beat: Heartbeat,
-        /// Our wall clock less the sender's, in milliseconds.
+        /// The local wall clock minus the sender's, in milliseconds.
         lag: i64,
     },
-    /// A part of a watcher's view.
+    /// A part of a watcher's full view arrived.
     Digest {
         /// The watcher.
         from: NodeId,
         /// The part.
         part: Digest,
-        /// Our wall clock less the sender's, in milliseconds.
+        /// The local wall clock minus the sender's, in milliseconds.
         lag: i64,
     },
-    /// A peer wants our full view.
+    /// A peer requests this planner's full view.
     Wanted(NodeId),
     /// A revision of the settings was read.
     Settings(Arc<Tree>),
-    /// A transaction ended.
+    /// A transaction finished.
     TxnDone {
-        /// The hall.
+        /// The hall whose planner sent the transaction.
         hall: HallId,
-        /// Its number.
+        /// The number from [`PlannerAction::SendTxn`].
         flight: u64,
-        /// How.
+        /// The result of the transaction.
         result: TxnResult,
     },
-    /// Rows were read, or not.
+    /// A read finished or failed.
     RowsRead {
-        /// The hall.
+        /// The hall whose planner asked for the read.
         hall: HallId,
-        /// The read's number.
+        /// The number from [`PlannerAction::Read`].
         flight: u64,
-        /// The rows, if the read succeeded.
+        /// The rows, or `None` if the read failed.
         rows: Option<Rows>,
     },
-    /// An order was answered, or not.
+    /// An order was answered, or its answer was lost.
     Answered {
-        /// The hall.
+        /// The hall whose planner sent the order.
         hall: HallId,
-        /// The target.
+        /// The target of the order.
         instance: InstanceId,
-        /// The order's fence.
+        /// The fence of the order.
         fence: Fence,
-        /// The answer, if one came.
+        /// The answer, or `None` if none came.
         reply: Option<OrderReply>,
     },
-    /// The daemon is told to stop.
+    /// The daemon has to stop.
     Stop,
     /// Time has passed.
     Tick,
 }
 
-/// What a planner is to do.
+/// An action that a planner asks its daemon for.
 #[derive(Debug, Clone, PartialEq)]
 pub enum PlannerAction {
-    /// Ask a target for its report.
+    /// Request the report of the target at this address.
     Probe(SocketAddr),
-    /// Send a transaction.
+    /// Send a transaction and report its result as [`PlannerEvent::TxnDone`].
     SendTxn {
-        /// The hall.
+        /// The hall whose planner sends the transaction.
         hall: HallId,
-        /// Its number.
+        /// Identifies the transaction within the hall.
         flight: u64,
-        /// The transaction.
+        /// The transaction to send.
         txn: Txn,
     },
-    /// Read rows by prefix.
+    /// Read rows by prefix and report them as [`PlannerEvent::RowsRead`].
     Read {
-        /// The hall.
+        /// The hall whose planner asks for the read.
         hall: HallId,
-        /// The read's number.
+        /// Identifies the read within the hall.
         flight: u64,
-        /// The prefixes.
+        /// The key prefixes to read.
         prefixes: Vec<RowKey>,
     },
-    /// Give an order.
+    /// Send an order to a target, unless the hall's lease has run out by then.
     Give {
-        /// The hall.
+        /// The hall whose planner sends the order.
         hall: HallId,
-        /// The order.
+        /// The order to send.
         order: Order,
-        /// Where to.
+        /// The address of the target.
         address: SocketAddr,
     },
-    /// Send a beat to all peers.
+    /// Send a heartbeat to all peers.
     TellBeat(Heartbeat),
-    /// Send our full view to one peer.
+    /// Send this planner's full view to one peer.
     TellDigest {
-        /// The peer.
+        /// The peer that requested the view.
         to: NodeId,
-        /// The parts.
+        /// The parts of the view, one message each.
         parts: Vec<Digest>,
     },
-    /// Ask a watcher for its full view.
+    /// Request a watcher's full view.
     AskDigest(NodeId),
-    /// Tell the peers which settings are in force here.
+    /// Send all peers the revision of the settings that is in force here.
     TellHead(u64),
-    /// Note an event on the time line.
+    /// Record an event on the timeline.
     Note(TimelineEvent),
-    /// The daemon may exit.
+    /// Exit the daemon.
     Exit,
 }
 
-/// Figures of a planner for operators.
+/// The figures of a planner that operators see.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlannerStatus {
-    /// Revision of the settings in force; 0 for none.
+    /// The revision of the settings in force; 0 if there is none.
     pub revision: u64,
-    /// Instances listed.
+    /// The number of listed instances.
     pub listed: usize,
-    /// Targets that this planner watches.
+    /// The number of targets that this planner watches.
     pub watched: usize,
-    /// Halls whose lease it holds.
+    /// The halls whose lease this planner holds.
     pub holds: Vec<HallId>,
 }
 
-/// An instance for operators.
+/// An instance, as shown to operators.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InstanceInfo {
-    /// What the watchers say.
+    /// The instance's state as the watchers report it.
     pub seen: Sighting,
-    /// Whether that is fresh.
+    /// Whether that state is recent enough to count.
     pub fresh: bool,
 }
--- a/crates/thistlesill-policy/src/presence.rs
+++ b/crates/thistlesill-policy/src/presence.rs
@@ -1,8 +1,9 @@
-//! Presence: who watches targets, and what all others believe of them.
+//! Presence: which planners watch which targets, and what the watchers' messages say of the
+//! targets.
 //!
-//! A [`Watch`] probes its share of a hall's targets and sends beats; a
-//! [`View`] merges the beats of all watchers. A beat confirms all unchanged
-//! sightings at once, so its size does not grow with the number of targets.
+//! A [`Watch`] probes its share of a hall's targets and sends heartbeats; a [`View`] merges the
+//! heartbeats of all watchers. A heartbeat confirms all unchanged sightings at once, so its size
+//! does not grow with the number of targets.
 
 mod view;
 mod watch;
@@ -10,5 +11,5 @@
 pub use view::{Heard, Measured, Observed, View};
 pub use watch::{Watch, WatchPeriods, Watcher, share};
 
-/// How many watchers each target has.
+/// The number of watchers that each target has.
 pub const WATCHERS: usize = 3;
--- a/crates/thistlesill-policy/src/presence/view.rs
+++ b/crates/thistlesill-policy/src/presence/view.rs
@@ -1,4 +1,4 @@
-//! The receiver's side of presence.
+//! The view of the targets that results from all watchers' messages.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -7,106 +7,108 @@
 use thistlesill_core::report::Pressure;
 use thistlesill_core::{InstanceId, Millis, NodeId};
 
-/// What to do after a watcher's message.
+/// The result of applying a watcher's message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Heard {
-    /// Nothing.
+    /// The message was applied.
     Fine,
-    /// Ask the watcher for its full view: something was missed.
+    /// An earlier message was missed, so the watcher's full view has to be requested.
     AskDigest,
-    /// The message is older than what is known.
+    /// The message is older than what is known, and was ignored.
     Stale,
 }
 
-/// What is believed of a target.
+/// The state of a target, merged over its watchers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Observed {
-    /// The sighting.
+    /// What the watchers report of the target.
     pub sighting: Arc<Sighting>,
-    /// Until when the sighting counts, if nothing more is heard.
+    /// When the sighting stops counting unless another message confirms it.
     pub until: Millis,
 }
 
 /// A leader's pressure and when it was measured.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Measured {
-    /// The figures.
+    /// The measured pressure.
     pub pressure: Pressure,
-    /// When.
+    /// When the pressure was measured.
     pub at: Millis,
 }
 
 #[derive(Debug, Clone, Default)]
-struct Watcher {
+struct WatcherState {
     run: u64,
     seq: u64,
     changes: u64,
-    in_step: bool,
-    /// When the reports behind the last message were all still good.
+    in_sync: bool,
+    /// The time of the oldest report that the last message rests on.
     confirmed: Millis,
-    heard: Millis,
-    /// The least difference seen between our wall clock and the sender's.
+    last_received: Millis,
+    /// The smallest difference seen between the local wall clock and the sender's, in milliseconds.
     least_lag: Option<i64>,
     sightings: HashMap<InstanceId, Arc<Sighting>>,
     gauges: HashMap<InstanceId, Measured>,
     parts: BTreeMap<u32, Digest>,
 }
 
-/// What all watchers together say of the targets.
+/// The targets as reported by all watchers together.
 #[derive(Debug, Clone, Default)]
 pub struct View {
-    watchers: BTreeMap<NodeId, Watcher>,
+    watchers: BTreeMap<NodeId, WatcherState>,
     /// Changes with every change of a sighting.
     generation: u64,
 }
 
 impl View {
-    /// A view without watchers.
+    /// Creates a view without watchers.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Changes whenever a sighting does.
+    /// Returns a counter that changes whenever a sighting does.
     pub const fn generation(&self) -> u64 {
         self.generation
     }
 
-    /// Takes in a beat.
+    /// Applies a heartbeat.
     ///
-    /// `lag` is our wall clock less the sender's when it sent, in
-    /// milliseconds. What exceeds the least lag ever seen from this watcher
-    /// is time spent on the way or in a queue, and ages the beat: a process
-    /// that was paused does not take old beats from its socket for new ones.
-    pub fn beat(&mut self, from: &NodeId, beat: &Heartbeat, lag: i64, now: Millis) -> Heard {
+    /// `lag` is the local wall clock minus the sender's at the time of sending, in milliseconds.
+    /// What exceeds the smallest lag ever seen from this watcher is time that the heartbeat spent
+    /// in transit or in a queue, and the heartbeat counts as that much older. A process that was
+    /// paused therefore does not mistake old heartbeats in its socket for new ones.
+    pub fn beat(&mut self, from: &NodeId, heartbeat: &Heartbeat, lag: i64, now: Millis) -> Heard {
         let watcher = self.watchers.entry(from.clone()).or_default();
-        if beat.run < watcher.run || (beat.run == watcher.run && beat.seq <= watcher.seq) {
+        if heartbeat.run < watcher.run
+            || (heartbeat.run == watcher.run && heartbeat.seq <= watcher.seq)
+        {
             return Heard::Stale;
         }
-        if beat.run > watcher.run {
-            watcher.restart(beat.run);
+        if heartbeat.run > watcher.run {
+            watcher.restart(heartbeat.run);
             self.generation += 1;
         }
         let delay = watcher.delay(lag);
-        watcher.seq = beat.seq;
-        watcher.heard = now - delay;
-        let expected = watcher.changes + beat.changed.len() as u64;
-        if !watcher.in_step && beat.changes == beat.changed.len() as u64 {
-            // The first change of a run: nothing was missed.
-            watcher.in_step = true;
-        } else if !watcher.in_step || expected != beat.changes {
-            watcher.in_step = false;
+        watcher.seq = heartbeat.seq;
+        watcher.last_received = now - delay;
+        let expected = watcher.changes + heartbeat.changed.len() as u64;
+        if !watcher.in_sync && heartbeat.changes == heartbeat.changed.len() as u64 {
+            // These are the first changes of a run, so nothing was missed.
+            watcher.in_sync = true;
+        } else if !watcher.in_sync || expected != heartbeat.changes {
+            watcher.in_sync = false;
             return Heard::AskDigest;
         }
-        watcher.changes = beat.changes;
-        watcher.confirmed = watcher.heard - beat.oldest;
-        for gauge in &beat.gauges {
+        watcher.changes = heartbeat.changes;
+        watcher.confirmed = watcher.last_received - heartbeat.oldest;
+        for gauge in &heartbeat.gauges {
             let measured = Measured {
                 pressure: gauge.pressure,
-                at: watcher.heard - gauge.pressure.age,
+                at: watcher.last_received - gauge.pressure.age,
             };
             watcher.gauges.insert(gauge.instance.clone(), measured);
         }
-        for sighting in &beat.changed {
+        for sighting in &heartbeat.changed {
             let key = sighting.instance.clone();
             watcher.sightings.insert(key, Arc::new(sighting.clone()));
             self.generation += 1;
@@ -114,11 +116,11 @@
         Heard::Fine
     }
 
-    /// Takes in a part of a watcher's full view; it counts once all parts
-    /// are there.
+    /// Applies a part of a watcher's full view. The view replaces the known one once all its parts
+    /// have arrived.
     pub fn digest(&mut self, from: &NodeId, part: &Digest, lag: i64, now: Millis) -> Heard {
         let watcher = self.watchers.entry(from.clone()).or_default();
-        if part.run < watcher.run || (watcher.in_step && part.changes < watcher.changes) {
+        if part.run < watcher.run || (watcher.in_sync && part.changes < watcher.changes) {
             return Heard::Stale;
         }
         if part.run > watcher.run {
@@ -138,29 +140,32 @@
                 .insert(sighting.instance.clone(), Arc::new(sighting));
         }
         watcher.changes = part.changes;
-        watcher.in_step = true;
-        watcher.heard = now - delay;
-        watcher.confirmed = watcher.heard - part.oldest;
+        watcher.in_sync = true;
+        watcher.last_received = now - delay;
+        watcher.confirmed = watcher.last_received - part.oldest;
         self.generation += 1;
         Heard::Fine
     }
 
-    /// The watchers heard from within `window`.
+    /// Returns the watchers whose last message is younger than `window`.
     pub fn alive(&self, now: Millis, window: Millis) -> Vec<NodeId> {
-        let live = self.watchers.iter().filter(|(_, w)| now - w.heard < window);
+        let live = self
+            .watchers
+            .iter()
+            .filter(|(_, w)| now - w.last_received < window);
         live.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Forgets watchers not heard from for `window`.
+    /// Removes the watchers whose last message is older than `window`.
     pub fn forget(&mut self, now: Millis, window: Millis) {
         let before = self.watchers.len();
-        self.watchers.retain(|_, w| now - w.heard < window);
+        self.watchers.retain(|_, w| now - w.last_received < window);
         if self.watchers.len() != before {
             self.generation += 1;
         }
     }
 
-    /// All targets that any watcher knows, merged.
+    /// Returns all targets that any watcher knows, merged over the watchers.
     pub fn observe_all(&self, now: Millis, window: Millis) -> BTreeMap<InstanceId, Observed> {
         let mut all: BTreeMap<InstanceId, Observed> = BTreeMap::new();
         for watcher in self.watchers.values() {
@@ -177,7 +182,7 @@
         all
     }
 
-    /// One target, merged over all watchers.
+    /// Returns one target, merged over the watchers that know it.
     pub fn observe(&self, instance: &str, now: Millis, window: Millis) -> Option<Observed> {
         let mut merged: Option<Observed> = None;
         for watcher in self.watchers.values() {
@@ -193,21 +198,22 @@
         merged
     }
 
-    /// The latest pressure on a leader, over all watchers.
+    /// Returns the most recent pressure on a leader, over all watchers.
     pub fn pressure(&self, instance: &str) -> Option<Measured> {
         let all = self.watchers.values();
         let found = all.filter_map(|w| w.gauges.get(instance));
         found.max_by_key(|m| m.at).copied()
     }
 
-    /// How old a gauge of this watcher is on arrival, beyond its own age.
+    /// Returns the age of a gauge from this watcher's last message: its age at sending plus the
+    /// time since then.
     pub fn gauge_age(&self, from: &NodeId, gauge: &Gauge, now: Millis) -> Millis {
-        let heard = self.watchers.get(from).map_or(now, |w| w.heard);
-        gauge.pressure.age + (now - heard)
+        let last_received = self.watchers.get(from).map_or(now, |w| w.last_received);
+        gauge.pressure.age + (now - last_received)
     }
 }
 
-impl Watcher {
+impl WatcherState {
     fn restart(&mut self, run: u64) {
         *self = Self {
             run,
@@ -216,7 +222,7 @@
         };
     }
 
-    /// The time that a message with this lag spent on the way.
+    /// Returns how long a message with this lag was in transit.
     fn delay(&mut self, lag: i64) -> Millis {
         let least = self.least_lag.map_or(lag, |l| l.min(lag));
         self.least_lag = Some(least);
@@ -224,7 +230,7 @@
     }
 
     fn observed(&self, sighting: &Arc<Sighting>, window: Millis) -> Observed {
-        let until = if self.in_step && sighting.state != ObservedState::Lost {
+        let until = if self.in_sync && sighting.state != ObservedState::Lost {
             self.confirmed + window
         } else {
             Millis::ZERO
@@ -236,11 +242,11 @@
     }
 }
 
-/// Merges what two watchers say of one target.
+/// Merges the sightings that two watchers have of one target.
 ///
-/// A watcher whose word has run out says nothing. Between two that differ,
-/// the target counts as lost until they agree: a group must not serve on the
-/// word of one of them alone. Leaving holds if any watcher says so.
+/// A sighting that has expired does not count. If two valid sightings differ, the target counts as
+/// lost until they agree: a group must not serve on the report of one of them alone. A target is
+/// leaving if either watcher says so.
 fn merge(known: &mut Observed, other: Observed, now: Millis) {
     let leaving = known.sighting.leaving || other.sighting.leaving;
     let (known_fresh, other_fresh) = (known.until > now, other.until > now);
--- a/crates/thistlesill-policy/src/presence/watch.rs
+++ b/crates/thistlesill-policy/src/presence/watch.rs
@@ -1,4 +1,4 @@
-//! The watcher's side of presence.
+//! The watcher's side of presence: probes targets and reports what they answer.
 
 use std::collections::BTreeMap;
 
@@ -9,23 +9,23 @@
 
 use super::WATCHERS;
 
-/// Cache events that a gauge carries at most.
+/// The maximum number of cache events in one gauge.
 const MAX_CACHE_EVENTS: usize = 16;
-/// Gauges in one beat at most; keeps it within a datagram.
+/// The maximum number of gauges in one heartbeat, which keeps it within a datagram.
 const MAX_GAUGES: usize = 24;
 
-/// Times of a watcher.
+/// The durations that a watcher works with.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WatchPeriods {
-    /// Between probes of a target.
+    /// The interval between probes of a target.
     pub probe: Millis,
-    /// The age of the last good report from which a target counts as lost.
+    /// The age of the last good report at which a target counts as lost.
     pub lost: Millis,
 }
 
 impl WatchPeriods {
-    /// Periods for a time between probes: a target is lost when two probes
-    /// in a row brought nothing.
+    /// Creates the durations for a probe interval: a target is lost when two probes in a row
+    /// brought no report.
     pub fn new(probe: Millis) -> Self {
         Self {
             probe,
@@ -36,20 +36,20 @@
 
 #[derive(Debug, Clone)]
 struct Target {
-    /// Whether it is in this watcher's share; if not, it is only kept until
-    /// its loss has been told.
-    mine: bool,
+    /// Whether the target is in this watcher's share. If not, it is kept only until it has been
+    /// reported as lost.
+    in_share: bool,
     sighting: Sighting,
     sent: bool,
     probed: Option<Millis>,
     confirmed: Millis,
     pressure: Pressure,
-    taken: Millis,
+    received_at: Millis,
     cache: Vec<CacheEvent>,
-    cache_seen: u64,
+    last_cache_seq: u64,
 }
 
-/// Watches this daemon's share of the targets.
+/// A watcher's state for its share of the targets.
 #[derive(Debug, Clone)]
 pub struct Watch {
     run: u64,
@@ -57,11 +57,11 @@
     seq: u64,
     changes: u64,
     targets: BTreeMap<InstanceId, Target>,
-    gauge_turn: usize,
+    next_gauge: usize,
 }
 
 impl Watch {
-    /// A watcher without targets; `run` must differ between starts.
+    /// Creates a watcher without targets; `run` must be greater at every start.
     pub const fn new(run: u64, periods: WatchPeriods) -> Self {
         Self {
             run,
@@ -69,33 +69,33 @@
             seq: 0,
             changes: 0,
             targets: BTreeMap::new(),
-            gauge_turn: 0,
+            next_gauge: 0,
         }
     }
 
-    /// Takes over a share of the targets, as [`share`] gives it.
-    pub fn assign(&mut self, mine: &[ListedInstance], now: Millis) {
-        let mut kept = BTreeMap::new();
-        for entry in mine {
+    /// Replaces the share of targets with the one that [`share`] returned.
+    pub fn assign(&mut self, assigned: &[ListedInstance], now: Millis) {
+        let mut updated = BTreeMap::new();
+        for entry in assigned {
             let old = self.targets.remove(&entry.instance);
-            kept.insert(entry.instance.clone(), renew(old, entry, now));
+            updated.insert(entry.instance.clone(), update_target(old, entry, now));
         }
-        // A target that is not ours any more, or not listed, is taken back.
-        for (instance, mut gone) in std::mem::take(&mut self.targets) {
-            gone.mine = false;
-            gone.sent &= gone.sighting.state == ObservedState::Lost;
-            gone.sighting.state = ObservedState::Lost;
-            kept.insert(instance, gone);
+        // A target that is no longer in the share, or no longer listed, is reported as lost.
+        for (instance, mut removed) in std::mem::take(&mut self.targets) {
+            removed.in_share = false;
+            removed.sent &= removed.sighting.state == ObservedState::Lost;
+            removed.sighting.state = ObservedState::Lost;
+            updated.insert(instance, removed);
         }
-        self.targets = kept;
+        self.targets = updated;
     }
 
-    /// The targets to probe now; each counts as probed from here on.
+    /// Returns the targets to probe now, and marks them as probed.
     pub fn due(&mut self, now: Millis) -> Vec<(InstanceId, std::net::SocketAddr)> {
         let mut due = Vec::new();
         for (instance, target) in &mut self.targets {
             let waits = target.probed.is_some_and(|t| now - t < self.periods.probe);
-            if target.mine && !waits {
+            if target.in_share && !waits {
                 target.probed = Some(now);
                 due.push((instance.clone(), target.sighting.address));
             }
@@ -103,10 +103,10 @@
         due
     }
 
-    /// Takes in the report that a probe begun at `started` brought.
+    /// Records the report that a probe sent at `started` returned.
     pub fn reported(&mut self, report: Report, started: Millis, now: Millis) {
         let found = self.targets.get_mut(&report.instance);
-        let Some(target) = found.filter(|t| t.mine) else {
+        let Some(target) = found.filter(|t| t.in_share) else {
             return;
         };
         if started < target.confirmed {
@@ -114,10 +114,10 @@
         }
         target.confirmed = started;
         target.pressure = report.pressure;
-        target.taken = now;
+        target.received_at = now;
         for event in &report.cache {
-            if event.seq > target.cache_seen && target.cache.len() < MAX_CACHE_EVENTS {
-                target.cache_seen = event.seq;
+            if event.seq > target.last_cache_seq && target.cache.len() < MAX_CACHE_EVENTS {
+                target.last_cache_seq = event.seq;
                 target.cache.push(*event);
             }
         }
@@ -125,20 +125,19 @@
         next.incarnation = report.incarnation;
         next.leaving |= report.leaving;
         next.state = report.duty.into();
-        replace(target, next);
+        set_sighting(target, next);
     }
 
-    /// The beat for all peers; call it once per period.
+    /// Returns the next heartbeat for all peers; call this once per heartbeat interval.
     ///
-    /// Changes that do not fit are left for the next beat. They were not
-    /// confirmed before, so leaving them out is safe; a change for the worse
-    /// goes first.
+    /// Changes that do not fit are left for the next heartbeat. This is safe because they have not
+    /// been confirmed yet. Targets that are lost or leaving go first.
     pub fn beat(&mut self, now: Millis) -> Heartbeat {
-        self.sweep(now);
+        self.mark_lost(now);
         let changed = self.take_changes();
         self.changes += changed.len() as u64;
         self.seq += 1;
-        self.targets.retain(|_, t| t.mine || !t.sent);
+        self.targets.retain(|_, t| t.in_share || !t.sent);
         Heartbeat {
             seq: self.seq,
             run: self.run,
@@ -149,9 +148,9 @@
         }
     }
 
-    /// This watcher's full view in parts.
+    /// Returns this watcher's full view in parts, each of which fits into a datagram.
     pub fn digest(&mut self, now: Millis) -> Vec<Digest> {
-        self.sweep(now);
+        self.mark_lost(now);
         let sent = self.targets.values().filter(|t| t.sent);
         let sightings: Vec<Sighting> = sent.map(|t| t.sighting.clone()).collect();
         let parts = sightings.len().div_ceil(MAX_SIGHTINGS).max(1);
@@ -170,29 +169,29 @@
         (0..parts).map(part).collect()
     }
 
-    /// How many targets are watched.
+    /// Returns the number of watched targets.
     pub fn len(&self) -> usize {
         self.targets.len()
     }
 
-    /// Whether no target is watched.
+    /// Returns whether no target is watched.
     pub fn is_empty(&self) -> bool {
         self.targets.is_empty()
     }
 
-    /// Marks targets without a fresh report as lost.
-    fn sweep(&mut self, now: Millis) {
+    /// Marks targets without a recent report as lost.
+    fn mark_lost(&mut self, now: Millis) {
         for target in self.targets.values_mut() {
             let lost = now - target.confirmed >= self.periods.lost;
             if lost && target.sighting.state != ObservedState::Lost {
                 let mut next = target.sighting.clone();
                 next.state = ObservedState::Lost;
-                replace(target, next);
+                set_sighting(target, next);
             }
         }
     }
 
-    /// The age of the oldest report that a sent sighting rests on.
+    /// Returns the age of the oldest report behind the sightings that were sent.
     fn oldest(&self, now: Millis) -> Millis {
         let held = self.targets.values().filter(|t| t.sent);
         held.filter(|t| t.sighting.state != ObservedState::Lost)
@@ -228,79 +227,81 @@
             .collect();
         let mut gauges = Vec::new();
         for step in 0..leaders.len().min(MAX_GAUGES) {
-            let instance = &leaders[(self.gauge_turn + step) % leaders.len()];
+            let instance = &leaders[(self.next_gauge + step) % leaders.len()];
             let Some(target) = self.targets.get_mut(instance) else {
                 continue;
             };
             let mut pressure = target.pressure;
-            pressure.age = pressure.age + (now - target.taken);
+            pressure.age = pressure.age + (now - target.received_at);
             gauges.push(Gauge {
                 instance: instance.clone(),
                 pressure,
                 cache: std::mem::take(&mut target.cache),
             });
         }
-        self.gauge_turn = self.gauge_turn.wrapping_add(MAX_GAUGES);
+        self.next_gauge = self.next_gauge.wrapping_add(MAX_GAUGES);
         gauges
     }
 }
 
-/// A planner that is alive, and its hall.
+/// The name and hall of a planner, which watches targets.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Watcher {
-    /// The planner.
+    /// The planner's name.
     pub name: NodeId,
-    /// Its hall.
+    /// The planner's hall.
     pub hall: HallId,
 }
 
-/// The share of `me` among the living planners.
+/// Returns the targets that `me` has to watch, given the planners that are alive.
 ///
-/// Each target has [`WATCHERS`] of them, of its own hall first: the death of
-/// one leaves two, whose word goes on counting.
+/// Each target has [`WATCHERS`] watchers, planners of its own hall first. If one of them dies, two
+/// remain, and their reports still count.
 pub fn share(me: &NodeId, alive: &[Watcher], listed: &[ListedInstance]) -> Vec<ListedInstance> {
     let mut near: BTreeMap<&HallId, Vec<NodeId>> = BTreeMap::new();
     for entry in listed {
         near.entry(&entry.hall)
             .or_insert_with(|| names(alive, |w| w.hall == entry.hall));
     }
-    let mine = listed.iter().filter(|entry| {
-        let own = &near[&entry.hall];
+    let own = listed.iter().filter(|entry| {
+        let local = &near[&entry.hall];
         let key = entry.instance.as_str();
-        if own.contains(me) {
-            return is_among(me, own, key, WATCHERS);
+        if local.contains(me) {
+            return is_among(me, local, key, WATCHERS);
         }
-        let missing = WATCHERS.saturating_sub(own.len());
+        let missing = WATCHERS.saturating_sub(local.len());
         let far = names(alive, |w| w.hall != entry.hall);
         missing > 0 && is_among(me, &far, key, missing)
     });
-    mine.cloned().collect()
+    own.cloned().collect()
 }
 
-fn names(watchers: &[Watcher], keep: impl Fn(&Watcher) -> bool) -> Vec<NodeId> {
-    let kept = watchers.iter().filter(|w| keep(w));
-    kept.map(|w| w.name.clone()).collect()
+fn names(watchers: &[Watcher], predicate: impl Fn(&Watcher) -> bool) -> Vec<NodeId> {
+    let matching = watchers.iter().filter(|w| predicate(w));
+    matching.map(|w| w.name.clone()).collect()
 }
 
-/// Whether a leader's gauge goes into the beat of this turn: the watchers of
-/// a target share the beats between them. A draining leader's always goes.
+/// Returns whether a leader's gauge goes into the heartbeat of this turn. Each watcher sends the
+/// gauge in one of [`WATCHERS`] heartbeats, so that the watchers of a target share the work. A
+/// draining leader's gauge is always sent.
 fn has_turn(turn: u64, instance: &InstanceId) -> bool {
     let offset: u64 = instance.as_str().bytes().map(u64::from).sum();
     (turn + offset).is_multiple_of(WATCHERS as u64)
 }
 
 /// Sets a target's sighting and marks it for sending if it differs.
-fn replace(target: &mut Target, next: Sighting) {
+fn set_sighting(target: &mut Target, next: Sighting) {
     if target.sighting != next {
         target.sighting = next;
         target.sent = false;
     }
 }
 
-/// Keeps what is known of a listed target, or starts anew with a lost one.
-fn renew(old: Option<Target>, entry: &ListedInstance, now: Millis) -> Target {
+/// Updates a listed target and keeps its known state, or creates it as lost if it is new or has
+/// moved.
+fn update_target(old: Option<Target>, entry: &ListedInstance, now: Millis) -> Target {
     let fresh = Target {
-        mine: true,
+        in_share: true,
         sighting: Sighting {
             instance: entry.instance.clone(),
             hall: entry.hall.clone(),
@@ -316,9 +317,9 @@
         probed: None,
         confirmed: Millis::ZERO,
         pressure: Pressure::default(),
-        taken: now,
+        received_at: now,
         cache: Vec::new(),
-        cache_seen: 0,
+        last_cache_seq: 0,
     };
     let Some(mut target) = old else { return fresh };
     let moved = target.sighting.address != entry.address;
@@ -328,7 +329,7 @@
     let mut next = target.sighting.clone();
     next.leaving = entry.leaving || (next.leaving && next.state != ObservedState::Lost);
     next.domain.clone_from(&entry.domain);
-    replace(&mut target, next);
-    target.mine = true;
+    set_sighting(&mut target, next);
+    target.in_share = true;
     target
 }
--- a/crates/thistlesill-policy/src/serving.rs
+++ b/crates/thistlesill-policy/src/serving.rs
@@ -1,8 +1,7 @@
-//! The groups that may serve, derived from their members' own reports.
+//! The groups that may serve, derived from the reports of their members.
 //!
-//! A group is whole only while every rank of one epoch is reported as ready
-//! by a fresh report. No table is asked, so serving goes on while the
-//! platform's store is out of reach.
+//! A group is complete only while recent reports show every rank of one epoch as ready. No table is
+//! read for this, so serving continues while the platform's store is unreachable.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -14,42 +13,42 @@
 
 use crate::presence::{Observed, View};
 
-/// Names one forming of a group.
+/// Identifies one formation of a group.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct GroupKey {
     /// The group.
     pub group: GroupId,
-    /// The epoch of its forming.
+    /// The epoch in which the group was formed.
     pub epoch: u64,
 }
 
-/// A member as a router needs to know it.
+/// A member of a group, as a router needs it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     /// The instance.
     pub instance: InstanceId,
-    /// Its incarnation when the group was seen whole.
+    /// The instance's incarnation when the group was found complete.
     pub incarnation: u64,
 }
 
 /// A group or plain service that may take requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Server {
-    /// The group; for a plain service, one made of its instance's name.
+    /// The group; for a plain service, a group named after its instance.
     pub key: GroupKey,
-    /// Where requests go.
+    /// Where requests are sent: the leader's address.
     pub address: SocketAddr,
-    /// Its hall.
+    /// The hall of the leader.
     pub hall: HallId,
-    /// Its fabric domain.
+    /// The fabric domain.
     pub domain: DomainId,
-    /// The generation of its accelerators.
+    /// The generation of the accelerators.
     pub generation: Generation,
-    /// Members in order of rank.
+    /// The members in order of rank.
     pub members: Vec<Member>,
-    /// What it runs.
+    /// What the server runs.
     pub runs: Runs,
-    /// Until when its members' reports count, if nothing more is heard.
+    /// When the reports of the members stop counting, unless newer ones arrive.
     pub until: Millis,
 }
 
@@ -57,26 +56,26 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Runs {
-    /// A model.
+    /// A model with its adapters.
     Model(Load),
     /// A plain service.
     Service(ServiceName),
 }
 
 impl Server {
-    /// The instance that takes the group's requests.
+    /// Returns the instance that takes the server's requests, which has rank 0.
     pub fn leader(&self) -> &InstanceId {
         &self.members[0].instance
     }
 }
 
-/// Why a group that some members report is not whole.
+/// Why a group that some members report is not complete.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "lack", rename_all = "snake_case")]
 pub enum Lack {
-    /// No member reports a rank.
+    /// No member reports this rank.
     Unreported {
-        /// The rank.
+        /// The rank, from 0.
         rank: u32,
     },
     /// A member is still loading.
@@ -84,7 +83,7 @@
         /// The member.
         instance: InstanceId,
     },
-    /// A member takes nothing new.
+    /// A member takes no new requests.
     Draining {
         /// The member.
         instance: InstanceId,
@@ -101,30 +100,32 @@
     },
     /// Two instances report the same rank.
     Doubled {
-        /// The rank.
+        /// The rank, from 0.
         rank: u32,
     },
 }
 
-/// A group that is not whole, and what it lacks.
+/// A group that is not complete, with the reasons.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Incomplete {
     /// The group.
     pub key: GroupKey,
-    /// What it lacks.
+    /// Why the group is not complete.
     pub lacks: Vec<Lack>,
 }
 
-/// All groups seen, whole or not.
+/// All reported groups, complete or not.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Roster {
-    /// Groups and services that may take requests.
+    /// The groups and plain services that may take requests.
     pub servers: Vec<Server>,
-    /// Groups that may not.
+    /// The groups that may not take requests.
     pub incomplete: Vec<Incomplete>,
 }
 
-/// Derives the groups from what the watchers say.
+/// Derives the servers and the incomplete groups from a view.
+///
+/// `window` is how long a report counts.
 pub fn derive(view: &View, now: Millis, window: Millis) -> Roster {
     let observed = view.observe_all(now, window);
     let mut roster = Roster::default();
@@ -143,7 +144,7 @@
         }
     }
     for (key, members) in groups {
-        let lacks = lacks(&members, now);
+        let lacks = incomplete_reasons(&members, now);
         if lacks.is_empty() {
             roster.servers.push(server(key, &members));
         } else {
@@ -179,28 +180,28 @@
     }
 }
 
-fn lacks(members: &[(&Membership, &Observed)], now: Millis) -> Vec<Lack> {
-    let mut lacks = Vec::new();
+fn incomplete_reasons(members: &[(&Membership, &Observed)], now: Millis) -> Vec<Lack> {
+    let mut reasons = Vec::new();
     let mut ranks = BTreeSet::new();
     let size = members.iter().map(|(m, _)| m.size).max().unwrap_or(0);
     for (m, seen) in members {
         let instance = seen.sighting.instance.clone();
         if !ranks.insert(m.rank) {
-            lacks.push(Lack::Doubled { rank: m.rank });
+            reasons.push(Lack::Doubled { rank: m.rank });
         }
         if seen.sighting.leaving {
-            lacks.push(Lack::Leaving { instance });
+            reasons.push(Lack::Leaving { instance });
         } else if seen.until <= now {
-            lacks.push(Lack::Stale { instance });
+            reasons.push(Lack::Stale { instance });
         } else if matches!(seen.sighting.state, ObservedState::Loading(_)) {
-            lacks.push(Lack::Loading { instance });
+            reasons.push(Lack::Loading { instance });
         } else if matches!(seen.sighting.state, ObservedState::Draining(_)) {
-            lacks.push(Lack::Draining { instance });
+            reasons.push(Lack::Draining { instance });
         }
     }
     let missing = (0..size).filter(|r| !ranks.contains(r));
-    lacks.extend(missing.map(|rank| Lack::Unreported { rank }));
-    lacks
+    reasons.extend(missing.map(|rank| Lack::Unreported { rank }));
+    reasons
 }
 
 fn server(key: GroupKey, members: &[(&Membership, &Observed)]) -> Server {
--- a/crates/thistlesill-policy/tests/claims.rs
+++ b/crates/thistlesill-policy/tests/claims.rs
@@ -1,4 +1,4 @@
-//! Claims: shared transactions, and never two grants of one key.
+//! Tests of claims: waiting claims share transactions, and one key is never granted twice.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,7 +9,7 @@
 use thistlesill_policy::charts::Charts;
 use thistlesill_policy::claim::{ClaimAsk, ClaimBook, ClaimStep, Verdict};
 
-fn book(name: &str) -> ClaimBook {
+fn claims(name: &str) -> ClaimBook {
     let charts = Charts::load().expect("sound charts");
     ClaimBook::new(charts.claim, name.into())
 }
@@ -26,7 +26,7 @@
 #[test]
 fn claims_that_wait_share_the_next_transaction() {
     let mut table = Table::default();
-    let mut book = book("r0");
+    let mut claims = claims("r0");
     let mut flights: Vec<(u64, Txn)> = Vec::new();
     let mut collect = |steps: Vec<ClaimStep>| {
         for step in steps {
@@ -36,21 +36,21 @@
         }
     };
     for n in 0..130 {
-        collect(book.ask(ask(n, &format!("k{n}")), Millis::new(1)));
+        collect(claims.ask(ask(n, &format!("k{n}")), Millis::new(1)));
     }
-    // Two are on their way with one claim each; the rest waits.
+    // Two transactions with one claim each are in flight; the other claims wait.
     assert_eq!(flights.len(), 2);
     let mut rounds = 0;
     while let Some((flight, txn)) = flights.pop() {
         rounds += 1;
         let reply = table.txn(&txn);
-        for step in book.done(flight, &TxnResult::Replied(reply)) {
+        for step in claims.done(flight, &TxnResult::Replied(reply)) {
             if let ClaimStep::Send { flight, txn } = step {
                 flights.push((flight, txn));
             }
         }
     }
-    assert_eq!(book.counts(), (130, rounds));
+    assert_eq!(claims.counts(), (130, rounds));
     assert_eq!(rounds, 4, "128 claims in two transactions of 64");
 }
 
@@ -58,12 +58,12 @@
 fn conflict_in_a_batch_spares_the_others() {
     let mut table = Table::default();
     table.txn(&Txn::new().put("claims/c/taken", &"x"));
-    let mut book = book("r0");
-    // Fill the flights, so that the next claims share one transaction.
-    let mut steps = book.ask(ask(1, "a"), Millis::new(1));
-    steps.extend(book.ask(ask(2, "b"), Millis::new(1)));
-    steps.extend(book.ask(ask(3, "taken"), Millis::new(1)));
-    steps.extend(book.ask(ask(4, "d"), Millis::new(1)));
+    let mut claims = claims("r0");
+    // Two transactions in flight make the next claims share one.
+    let mut steps = claims.ask(ask(1, "a"), Millis::new(1));
+    steps.extend(claims.ask(ask(2, "b"), Millis::new(1)));
+    steps.extend(claims.ask(ask(3, "taken"), Millis::new(1)));
+    steps.extend(claims.ask(ask(4, "d"), Millis::new(1)));
     let mut verdicts = BTreeMap::new();
     let mut now = Millis::new(1);
     for _ in 0..40 {
@@ -72,11 +72,11 @@
             match step {
                 ClaimStep::Send { flight, txn } => {
                     let reply = table.txn(&txn);
-                    next.extend(book.done(flight, &TxnResult::Replied(reply)));
+                    next.extend(claims.done(flight, &TxnResult::Replied(reply)));
                 }
                 ClaimStep::Read { flight, keys } => {
                     let rows = table.read(&Read { prefixes: keys });
-                    next.extend(book.rows(flight, Some(&rows)));
+                    next.extend(claims.rows(flight, Some(&rows)));
                 }
                 ClaimStep::Decide { request, verdict } => {
                     verdicts.insert(request, verdict);
@@ -84,25 +84,25 @@
             }
         }
         now = now + Millis::new(50);
-        next.extend(book.tick(now));
+        next.extend(claims.tick(now));
         steps = next;
     }
-    let of = |n: u128| verdicts.get(&RequestId::new(n));
-    assert_eq!(of(1), Some(&Verdict::Granted));
-    assert_eq!(of(4), Some(&Verdict::Granted));
-    assert_eq!(of(3), Some(&Verdict::Held));
+    let verdict_of = |n: u128| verdicts.get(&RequestId::new(n));
+    assert_eq!(verdict_of(1), Some(&Verdict::Granted));
+    assert_eq!(verdict_of(4), Some(&Verdict::Granted));
+    assert_eq!(verdict_of(3), Some(&Verdict::Held));
 }
 
 #[test]
 fn same_key_never_waits_twice_for_one_transaction() {
     let mut table = Table::default();
-    let mut book = book("r0");
+    let mut claims = claims("r0");
     let now = Millis::new(1);
-    let mut steps = book.ask(ask(1, "a"), now);
-    steps.extend(book.ask(ask(2, "b"), now));
-    // Both flights are taken: these two would share the next transaction.
-    steps.extend(book.ask(ask(3, "same"), now));
-    steps.extend(book.ask(ask(4, "same"), now));
+    let mut steps = claims.ask(ask(1, "a"), now);
+    steps.extend(claims.ask(ask(2, "b"), now));
+    // Two transactions are in flight, so the next two claims would share one.
+    steps.extend(claims.ask(ask(3, "same"), now));
+    steps.extend(claims.ask(ask(4, "same"), now));
     let mut granted = Vec::new();
     while !steps.is_empty() {
         let mut next = Vec::new();
@@ -110,7 +110,7 @@
             match step {
                 ClaimStep::Send { flight, txn } => {
                     let reply = table.txn(&txn);
-                    next.extend(book.done(flight, &TxnResult::Replied(reply)));
+                    next.extend(claims.done(flight, &TxnResult::Replied(reply)));
                 }
                 ClaimStep::Decide {
                     request,
@@ -124,22 +124,22 @@
     assert_eq!(granted, [1, 2, 3].map(RequestId::new).to_vec());
 }
 
-/// What happens to the next message of a router to the table.
+/// The fate of a router's next message to the table.
 #[derive(Debug, Clone, Copy)]
-enum Luck {
-    Fine,
+enum Delivery {
+    Delivered,
     Lost,
     AnswerLost,
     Late,
 }
 
-impl Luck {
-    const fn of(byte: u8) -> Self {
+impl Delivery {
+    const fn from_byte(byte: u8) -> Self {
         match byte % 5 {
             0 => Self::Lost,
             1 => Self::AnswerLost,
             2 => Self::Late,
-            _ => Self::Fine,
+            _ => Self::Delivered,
         }
     }
 }
@@ -152,47 +152,47 @@
 }
 
 impl Session {
-    fn carry(
+    fn deliver(
         &mut self,
-        book: &mut ClaimBook,
+        claims: &mut ClaimBook,
         steps: Vec<ClaimStep>,
-        luck: &mut impl Iterator<Item = u8>,
+        deliveries: &mut impl Iterator<Item = u8>,
     ) -> Vec<ClaimStep> {
         let mut next = Vec::new();
         for step in steps {
-            let fortune = Luck::of(luck.next().unwrap_or(4));
+            let delivery = Delivery::from_byte(deliveries.next().unwrap_or(4));
             match step {
                 ClaimStep::Send { flight, txn } => {
-                    let result = self.txn(txn, fortune);
-                    next.extend(book.done(flight, &result));
+                    let result = self.txn(txn, delivery);
+                    next.extend(claims.done(flight, &result));
                 }
                 ClaimStep::Read { flight, keys } => {
-                    let rows = matches!(fortune, Luck::Fine)
+                    let rows = matches!(delivery, Delivery::Delivered)
                         .then(|| self.table.read(&Read { prefixes: keys }));
-                    next.extend(book.rows(flight, rows.as_ref()));
+                    next.extend(claims.rows(flight, rows.as_ref()));
                 }
-                ClaimStep::Decide { request, verdict } => self.decided(request, &verdict),
+                ClaimStep::Decide { request, verdict } => self.record(request, &verdict),
             }
         }
         next
     }
 
-    fn txn(&mut self, txn: Txn, fortune: Luck) -> TxnResult {
-        match fortune {
-            Luck::Fine => TxnResult::Replied(self.table.txn(&txn)),
-            Luck::Lost => TxnResult::Unknown,
-            Luck::AnswerLost => {
+    fn txn(&mut self, txn: Txn, delivery: Delivery) -> TxnResult {
+        match delivery {
+            Delivery::Delivered => TxnResult::Replied(self.table.txn(&txn)),
+            Delivery::Lost => TxnResult::Unknown,
+            Delivery::AnswerLost => {
                 self.table.txn(&txn);
                 TxnResult::Unknown
             }
-            Luck::Late => {
+            Delivery::Late => {
                 self.late.push(txn);
                 TxnResult::Unknown
             }
         }
     }
 
-    fn decided(&mut self, request: RequestId, verdict: &Verdict) {
+    fn record(&mut self, request: RequestId, verdict: &Verdict) {
         match verdict {
             Verdict::Granted => {
                 self.granted.insert(("claims/c/k".into(), request));
@@ -206,36 +206,36 @@
 }
 
 seeded! {
-    fn one_key_is_granted_once(luck: Vec<u8>, asks: Vec<bool>) -> bool {
-        let mut books = [book("r0"), book("r1")];
+    fn one_key_is_granted_once(deliveries: Vec<u8>, asks: Vec<bool>) -> bool {
+        let mut routers = [claims("r0"), claims("r1")];
         let mut session = Session {
             table: Table::default(),
             late: Vec::new(),
             granted: BTreeSet::new(),
             down: BTreeSet::new(),
         };
-        let mut luck = luck.into_iter();
+        let mut deliveries = deliveries.into_iter();
         let mut steps = [Vec::new(), Vec::new()];
         let mut asks = asks.into_iter();
         for round in 0..120_u64 {
             let now = Millis::new(1 + round * 60);
             if let Some(second) = asks.next() {
-                let which = usize::from(second);
-                let asked = books[which].ask(ask(u128::from(round), "k"), now);
-                steps[which].extend(asked);
+                let router = usize::from(second);
+                let asked = routers[router].ask(ask(u128::from(round), "k"), now);
+                steps[router].extend(asked);
             }
-            for which in 0..2 {
-                steps[which].extend(books[which].tick(now));
-                let todo = std::mem::take(&mut steps[which]);
-                steps[which] = session.carry(&mut books[which], todo, &mut luck);
+            for router in 0..2 {
+                steps[router].extend(routers[router].tick(now));
+                let todo = std::mem::take(&mut steps[router]);
+                steps[router] = session.deliver(&mut routers[router], todo, &mut deliveries);
             }
-            // A transaction that was late takes effect, or not, now.
+            // A delayed transaction reaches the table now and may take effect.
             if round % 3 == 0 && let Some(txn) = session.late.pop() {
                 let reply = session.table.txn(&txn);
                 assert!(matches!(reply, TxnReply::Committed { .. } | TxnReply::Refused { .. }));
             }
         }
-        let both = session.granted.iter().any(|(_, r)| session.down.contains(r));
-        session.granted.len() <= 1 && !both
+        let granted_and_down = session.granted.iter().any(|(_, r)| session.down.contains(r));
+        session.granted.len() <= 1 && !granted_and_down
     }
 }
--- a/crates/thistlesill-policy/tests/lease.rs
+++ b/crates/thistlesill-policy/tests/lease.rs
@@ -1,4 +1,4 @@
-//! The lease on a hall, and plan writes of a holder that has lost it.
+//! Tests of the lease on a hall, and of plan writes by a planner that has lost the lease.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -34,23 +34,23 @@
     table.read(&Read { prefixes })
 }
 
-/// Lets a lease act until it has nothing to do.
-fn settle(lease: &mut Lease, table: &mut Table, now: Millis) -> Vec<LeaseNews> {
-    let mut all = Vec::new();
+/// Ticks a lease and carries out its steps until there are none left; returns the changes.
+fn run_lease(lease: &mut Lease, table: &mut Table, now: Millis) -> Vec<LeaseNews> {
+    let mut lease_changes = Vec::new();
     loop {
-        let (step, news) = lease.tick(now);
-        all.push(news);
+        let (step, change) = lease.tick(now);
+        lease_changes.push(change);
         match step {
             LeaseStep::Wait => break,
-            LeaseStep::Read => all.push(lease.read(Some(&read(table)), now)),
+            LeaseStep::Read => lease_changes.push(lease.read(Some(&read(table)), now)),
             LeaseStep::Send(txn) => {
                 let result = TxnResult::Replied(table.txn(&txn));
-                all.push(lease.done(&result, now));
+                lease_changes.push(lease.done(&result, now));
             }
         }
     }
-    all.retain(|news| *news != LeaseNews::None);
-    all
+    lease_changes.retain(|change| *change != LeaseNews::None);
+    lease_changes
 }
 
 fn at(ms: u64) -> Millis {
@@ -62,10 +62,10 @@
     let mut table = Table::default();
     let (mut a, mut b) = (lease("a"), lease("b"));
     assert_eq!(
-        settle(&mut a, &mut table, START),
+        run_lease(&mut a, &mut table, START),
         vec![LeaseNews::Gained { term: 1 }]
     );
-    assert!(settle(&mut b, &mut table, START).is_empty());
+    assert!(run_lease(&mut b, &mut table, START).is_empty());
     assert_eq!(a.term(START), Some(1));
     assert_eq!(b.term(START), None);
 }
@@ -74,9 +74,9 @@
 fn term_ends_by_the_holders_own_clock_without_a_tick() {
     let mut table = Table::default();
     let mut a = lease("a");
-    settle(&mut a, &mut table, START);
+    run_lease(&mut a, &mut table, START);
     assert_eq!(a.term(at(6_499)), Some(1));
-    // Paused, and asked before it has looked at the time.
+    // The planner was paused and has not ticked since the lease ran out.
     assert_eq!(a.term(at(6_500)), None);
 }
 
@@ -84,64 +84,65 @@
 fn takeover_only_after_the_whole_length() {
     let mut table = Table::default();
     let (mut a, mut b) = (lease("a"), lease("b"));
-    settle(&mut a, &mut table, START);
-    settle(&mut b, &mut table, START);
-    assert!(settle(&mut b, &mut table, at(7_900)).is_empty());
-    let gained = settle(&mut b, &mut table, at(8_100));
+    run_lease(&mut a, &mut table, START);
+    run_lease(&mut b, &mut table, START);
+    assert!(run_lease(&mut b, &mut table, at(7_900)).is_empty());
+    let gained = run_lease(&mut b, &mut table, at(8_100));
     assert_eq!(gained, vec![LeaseNews::Gained { term: 2 }]);
-    let ended = settle(&mut a, &mut table, at(8_200));
+    let ended = run_lease(&mut a, &mut table, at(8_200));
     assert_eq!(ended, vec![LeaseNews::Ended { term: 1 }]);
 }
 
-/// A lease that `a` holds and has not renewed, and that `b` asked for without an answer.
+/// Returns a lease that `a` holds and has not renewed, and that `b` tried to take over without
+/// getting an answer.
 fn asked_in_an_outage() -> (Table, Lease, Lease) {
     let mut table = Table::default();
     let (mut a, mut b) = (lease("a"), lease("b"));
-    settle(&mut a, &mut table, START);
-    settle(&mut b, &mut table, START);
+    run_lease(&mut a, &mut table, START);
+    run_lease(&mut b, &mut table, START);
     let (step, _) = b.tick(at(8_100));
     assert!(matches!(step, LeaseStep::Send(_)), "{step:?}");
     b.done(&TxnResult::Unknown, at(8_600));
     (table, a, b)
 }
 
-/// The store was away for longer than the lease lasts. Whoever had asked for it meanwhile,
-/// without an answer, forgot since when the holder had not renewed it, and waited for its
-/// whole length once more: no group was repaired for 2.6 s after the store's return.
+/// The store is unreachable for longer than the lease lasts. A planner whose takeover got no answer
+/// forgot since when the row was unchanged and waited for the whole length again, so that no group
+/// was repaired for 2.6 s after the store's return.
 #[test]
 fn a_lease_that_ran_out_while_the_store_was_away_is_taken_at_its_return() {
     let (mut table, a, mut b) = asked_in_an_outage();
     let (step, _) = b.tick(at(8_700));
     assert!(matches!(step, LeaseStep::Read), "{step:?}");
     b.read(None, at(9_200));
-    let gained = settle(&mut b, &mut table, at(11_300));
+    let gained = run_lease(&mut b, &mut table, at(11_300));
     assert_eq!(gained, vec![LeaseNews::Gained { term: 2 }]);
     assert_eq!(a.term(at(11_300)), None);
 }
 
-/// The same, but the holder renewed it just before: its length counts from there.
+/// Same outage, but the holder renewed the lease just before it: the length counts from there.
 #[test]
 fn a_lease_that_was_renewed_meanwhile_is_not_taken() {
     let (mut table, mut a, mut b) = asked_in_an_outage();
-    settle(&mut a, &mut table, at(2_000));
-    assert!(settle(&mut b, &mut table, at(11_300)).is_empty());
-    assert!(settle(&mut b, &mut table, at(19_200)).is_empty());
+    run_lease(&mut a, &mut table, at(2_000));
+    assert!(run_lease(&mut b, &mut table, at(11_300)).is_empty());
+    assert!(run_lease(&mut b, &mut table, at(19_200)).is_empty());
     let gained = vec![LeaseNews::Gained { term: 2 }];
-    assert_eq!(settle(&mut b, &mut table, at(19_400)), gained);
+    assert_eq!(run_lease(&mut b, &mut table, at(19_400)), gained);
 }
 
 #[test]
 fn a_lease_that_cannot_be_read_runs_out_like_any_other() {
     let mut table = Table::default();
     let (mut a, mut b) = (lease("a"), lease("b"));
-    settle(&mut a, &mut table, START);
-    // Another writer, now and while somebody waits for the lease to run out.
+    run_lease(&mut a, &mut table, START);
+    // Another writer overwrites the row, and `b` waits for the lease to run out.
     let garbage = Txn::new().put("halls/h/lease", &"nothing");
     table.txn(&garbage);
-    assert!(settle(&mut b, &mut table, at(2_000)).is_empty());
-    assert!(settle(&mut b, &mut table, at(9_900)).is_empty());
+    assert!(run_lease(&mut b, &mut table, at(2_000)).is_empty());
+    assert!(run_lease(&mut b, &mut table, at(9_900)).is_empty());
     let gained = LeaseNews::Gained { term: 2 };
-    assert_eq!(settle(&mut b, &mut table, at(10_000)), vec![gained]);
+    assert_eq!(run_lease(&mut b, &mut table, at(10_000)), vec![gained]);
     assert_eq!(a.term(at(10_000)), None);
 }
 
@@ -149,9 +150,9 @@
 fn a_holder_whose_lease_was_overwritten_writes_it_again() {
     let mut table = Table::default();
     let mut a = lease("a");
-    settle(&mut a, &mut table, START);
+    run_lease(&mut a, &mut table, START);
     table.txn(&Txn::new().put("halls/h/lease", &"nothing"));
-    assert!(settle(&mut a, &mut table, at(2_000)).is_empty());
+    assert!(run_lease(&mut a, &mut table, at(2_000)).is_empty());
     assert_eq!(a.term(at(8_000)), Some(1), "it was renewed at 2 s");
     assert_eq!(a.holder().map(ToString::to_string), Some("a".to_owned()));
 }
@@ -160,12 +161,12 @@
 fn renewal_keeps_others_out() {
     let mut table = Table::default();
     let (mut a, mut b) = (lease("a"), lease("b"));
-    settle(&mut a, &mut table, START);
+    run_lease(&mut a, &mut table, START);
     for second in 1..60 {
         let now = at(second * 1_000);
-        assert!(settle(&mut a, &mut table, now).is_empty());
+        assert!(run_lease(&mut a, &mut table, now).is_empty());
         assert!(
-            settle(&mut b, &mut table, now).is_empty(),
+            run_lease(&mut b, &mut table, now).is_empty(),
             "second {second}"
         );
     }
@@ -175,10 +176,10 @@
 fn lost_answer_of_a_renewal_extends_nothing_unless_it_took_effect() {
     let mut table = Table::default();
     let mut a = lease("a");
-    settle(&mut a, &mut table, START);
+    run_lease(&mut a, &mut table, START);
     let (step, _) = a.tick(at(2_000));
     assert!(matches!(step, LeaseStep::Send(_)), "{step:?}");
-    // The renewal never reaches the table, and its answer never comes.
+    // The renewal does not reach the table, and its result is unknown.
     a.done(&TxnResult::Unknown, at(3_500));
     a.read(Some(&read(&mut table)), at(3_600));
     assert_eq!(a.term(at(6_499)), Some(1));
@@ -189,15 +190,15 @@
 fn renewal_that_took_no_effect_is_sent_again_at_once() {
     let mut table = Table::default();
     let mut a = lease("a");
-    settle(&mut a, &mut table, START);
+    run_lease(&mut a, &mut table, START);
     let (step, _) = a.tick(at(2_000));
     assert!(matches!(step, LeaseStep::Send(_)), "{step:?}");
-    // The renewal never reaches the table, and its answer never comes.
+    // The renewal does not reach the table, and its result is unknown.
     a.done(&TxnResult::Unknown, at(3_500));
     let (step, _) = a.tick(at(3_500));
     assert_eq!(step, LeaseStep::Read);
     a.read(Some(&read(&mut table)), at(3_600));
-    // Of the lease's length over half is gone; a whole period may not pass.
+    // Over half of the lease's length has passed, so the renewal must not wait another interval.
     let (step, _) = a.tick(at(3_600));
     assert!(matches!(step, LeaseStep::Send(_)), "{step:?}");
 }
@@ -206,7 +207,7 @@
 fn late_renewal_is_not_taken_for_a_newer_one() {
     let mut table = Table::default();
     let mut a = lease("a");
-    settle(&mut a, &mut table, START);
+    run_lease(&mut a, &mut table, START);
     let (LeaseStep::Send(late), _) = a.tick(at(2_000)) else {
         panic!("a renewal");
     };
@@ -215,14 +216,14 @@
     let (LeaseStep::Send(_), _) = a.tick(at(4_100)) else {
         panic!("a second renewal");
     };
-    // The first one takes effect now; the second one is lost.
+    // The first renewal takes effect now; the second one is lost.
     table.txn(&late);
     a.done(&TxnResult::Unknown, at(5_600));
     a.read(Some(&read(&mut table)), at(5_700));
     assert_eq!(
         a.term(at(6_600)),
         None,
-        "it was asked for at 2 s, not at 4 s"
+        "the renewal that took effect was sent at 2 s, not at 4 s"
     );
 }
 
@@ -230,12 +231,12 @@
 fn release_lets_others_in_at_once() {
     let mut table = Table::default();
     let (mut a, mut b) = (lease("a"), lease("b"));
-    settle(&mut a, &mut table, START);
+    run_lease(&mut a, &mut table, START);
     let txn = a.release(at(100)).expect("a release");
     table.txn(&txn);
     assert_eq!(a.term(at(100)), None);
     assert_eq!(
-        settle(&mut b, &mut table, at(200)),
+        run_lease(&mut b, &mut table, at(200)),
         vec![LeaseNews::Gained { term: 2 }]
     );
 }
@@ -254,7 +255,7 @@
     }
 }
 
-/// A view that is fresh at `now`.
+/// Returns a view whose sightings are fresh at `now`.
 fn view(now: Millis) -> View {
     let beat = Heartbeat {
         seq: 1,
@@ -295,9 +296,9 @@
     HallPlanner::new(options, &charts())
 }
 
-/// Runs a planner for some seconds; plan writes are returned, not sent.
+/// Runs a planner for some seconds and returns its plan writes, which are not sent.
 fn run(planner: &mut HallPlanner, table: &mut Table, from: u64, seconds: u64) -> Vec<Txn> {
-    let mut kept = Vec::new();
+    let mut plan_writes = Vec::new();
     for step in 0..seconds * 10 {
         let now = at(from + step * 100);
         let mut actions = planner.tick(&view(now), Millis::new(4_000), Some(&tree()), now);
@@ -305,7 +306,7 @@
             let mut next = Vec::new();
             for action in actions {
                 match action {
-                    PlanAction::SendTxn { txn, .. } if writes_plan(&txn) => kept.push(txn),
+                    PlanAction::SendTxn { txn, .. } if writes_plan(&txn) => plan_writes.push(txn),
                     PlanAction::SendTxn { flight, txn } => {
                         let result = TxnResult::Replied(table.txn(&txn));
                         next.extend(planner.step(PlanEvent::TxnDone { flight, result }, now));
@@ -320,7 +321,7 @@
             actions = next;
         }
     }
-    kept
+    plan_writes
 }
 
 fn writes_plan(txn: &Txn) -> bool {
@@ -333,8 +334,8 @@
     let mut table = Table::default();
     let (mut a, mut b) = (planner("a"), planner("b"));
     let late = run(&mut a, &mut table, 0, 5);
-    assert_eq!(late.len(), 1, "one plan, on its way for long");
-    // The next holder has gained the lease and has not planned yet.
+    assert_eq!(late.len(), 1, "one plan write, still in flight");
+    // The next holder has gained the lease and has not written a plan yet.
     run(&mut b, &mut table, 0, 1);
     run(&mut b, &mut table, 14_000, 1);
     assert_eq!(b.term(at(15_000)), Some(2));
--- a/crates/thistlesill-policy/tests/placement.rs
+++ b/crates/thistlesill-policy/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Placement against the best that is possible, and its weighing.
+//! Tests of placement: the best possible packing, spares, and what the downtime weight decides.
 
 use std::collections::BTreeSet;
 
@@ -57,7 +57,7 @@
 
 const LATER: Millis = Millis::new(10_000_000);
 
-/// The most instances that any set of groups can use, by trying all.
+/// Returns the most instances that any set of groups can use, by trying all sets.
 fn exhaustive(count: u32, sizes: &[u32]) -> u32 {
     let fitting = sizes.iter().filter(|s| **s > 0 && **s <= count);
     fitting
@@ -117,11 +117,11 @@
 
 #[test]
 fn repacks_when_the_gain_outweighs_the_move() {
-    // Two groups of 3 and 2 free of 8: two groups of 4 use all.
+    // Two groups of 3 and 2 free instances: two groups of 4 would use all 8.
     let stranded = place(&[pool(2, &[3, 3], &[4, 3], 0.2, 0)], LATER);
     assert_eq!(stranded.drain.len(), 2);
     let downtime = place(&[pool(2, &[3, 3], &[4, 3], 1.0, 0)], LATER);
-    assert!(downtime.drain.is_empty(), "what serves is left alone");
+    assert!(downtime.drain.is_empty(), "serving groups are kept");
 }
 
 #[test]
