--- a/crates/thistlesill-cli/src/commands/fleet.rs
+++ b/crates/thistlesill-cli/src/commands/fleet.rs
@@ -7,7 +7,7 @@
 use thistlesill_policy::plan::{GroupInfo, HallInfo};
 use thistlesill_policy::planner::{InstanceInfo, PlannerStatus};
 use thistlesill_policy::router::Status;
-use thistlesill_policy::serving::{Lack, Roster};
+use thistlesill_policy::serving::{IncompleteReason, ServerList};
 
 use super::to_json;
 use crate::client::{Answer, Client, not_found};
@@ -39,12 +39,12 @@
     }
 }
 
-async fn rosters(client: &Client) -> Vec<Answer<Roster>> {
+async fn rosters(client: &Client) -> Vec<Answer<ServerList>> {
     client.get_all(Some(Role::Router), "/admin/groups").await
 }
 
 /// At how many routers a group is whole.
-fn seen_whole(rosters: &[Answer<Roster>], group: &GroupInfo) -> (usize, usize) {
+fn seen_whole(rosters: &[Answer<ServerList>], group: &GroupInfo) -> (usize, usize) {
     let heard = rosters.iter().filter_map(|a| a.result.as_ref().ok());
     let whole = heard.clone().filter(|r| {
         let mut servers = r.servers.iter();
@@ -234,13 +234,13 @@
     Ok(out)
 }
 
-fn lack_text(lack: &Lack) -> String {
+fn lack_text(lack: &IncompleteReason) -> String {
     match lack {
-        Lack::Unreported { rank } => format!("no member reports rank {rank}"),
-        Lack::Loading { instance } => format!("{instance} loads weights"),
-        Lack::Draining { instance } => format!("{instance} takes nothing new"),
-        Lack::Stale { instance } => format!("the report of {instance} is too old"),
-        Lack::Leaving { instance } => format!("{instance} is leaving"),
-        Lack::Doubled { rank } => format!("two instances report rank {rank}"),
+        IncompleteReason::Unreported { rank } => format!("no member reports rank {rank}"),
+        IncompleteReason::Loading { instance } => format!("{instance} loads weights"),
+        IncompleteReason::Draining { instance } => format!("{instance} takes nothing new"),
+        IncompleteReason::Stale { instance } => format!("the report of {instance} is too old"),
+        IncompleteReason::Leaving { instance } => format!("{instance} is leaving"),
+        IncompleteReason::Doubled { rank } => format!("two instances report rank {rank}"),
     }
 }
--- a/crates/thistlesill-edge/src/peers.rs
+++ b/crates/thistlesill-edge/src/peers.rs
@@ -20,7 +20,7 @@
 use thistlesill_core::{HallId, Millis, Model, NodeId, ServiceName};
 use thistlesill_policy::edge::fleet::{Demand, LateJoins};
 use thistlesill_policy::edge::spread;
-use thistlesill_policy::lease::LeaseSeen;
+use thistlesill_policy::lease::LeaseSnapshot;
 use tokio::net::UdpSocket;
 
 use self::packet::{AskedWork, Beat, StoreUse};
@@ -127,9 +127,9 @@
     planner_ended: bool,
     pub(crate) socket: Option<Rc<UdpSocket>>,
     /// The lease as this daemon holds it.
-    pub(crate) shown: Option<LeaseSeen>,
+    pub(crate) shown: Option<LeaseSnapshot>,
     /// The lease as another daemon told of it.
-    pub(crate) heard_lease: Option<LeaseSeen>,
+    pub(crate) heard_lease: Option<LeaseSnapshot>,
     /// As planner: what callers ask the other daemons for, and when they told.
     asked: HashMap<NodeId, (Millis, AskedWork)>,
     /// As planner: targets that answered no probe.
--- a/crates/thistlesill-edge/src/peers/packet.rs
+++ b/crates/thistlesill-edge/src/peers/packet.rs
@@ -6,7 +6,7 @@
 use thistlesill_policy::edge::feed::Batch;
 use thistlesill_policy::edge::limit::{Grant, ToldLimit};
 use thistlesill_policy::edge::load::Work;
-use thistlesill_policy::lease::LeaseSeen;
+use thistlesill_policy::lease::LeaseSnapshot;
 
 /// One datagram.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -105,7 +105,7 @@
     /// Targets whose streams are slow.
     pub(crate) slow: Vec<TargetId>,
     /// As planner: the lease.
-    pub(crate) lease: Option<LeaseSeen>,
+    pub(crate) lease: Option<LeaseSnapshot>,
     /// As planner: targets that answered no probe.
     pub(crate) dead: Vec<TargetId>,
     /// Groups whose members may be joined late; `None` if it does not know of all.
--- a/crates/thistlesill-edge/src/planner.rs
+++ b/crates/thistlesill-edge/src/planner.rs
@@ -17,7 +17,7 @@
 use thistlesill_policy::edge::fleet::{
     Condition, Demand, FleetAction, FleetPlanner, FleetView, room,
 };
-use thistlesill_policy::lease::{Lease, LeaseNews, LeasePeriods, LeaseStep};
+use thistlesill_policy::lease::{Lease, LeaseChange, LeasePeriods, LeaseStep};
 
 use crate::figures;
 use crate::follow::{self, FIND};
@@ -41,7 +41,7 @@
     renew: Millis::new(600),
     length: Millis::new(2_000),
     margin: Millis::new(300),
-    courtesy: Millis::ZERO,
+    grace: Millis::ZERO,
 };
 /// Without a holder for this long, every daemon looks for the lease: the first
 /// ones of the data centres have had time for two takeovers.
@@ -118,7 +118,7 @@
     async fn tend_lease(&self) {
         let now = self.edge.now();
         if let Some(seen) = self.edge.peers.borrow_mut().heard_lease.take() {
-            self.lease.borrow_mut().witness(seen, now);
+            self.lease.borrow_mut().observe(seen, now);
         }
         let watching = matches!(self.lease.borrow().state(), LeaseState::Watching);
         if watching && !self.may_seek(now) {
@@ -127,22 +127,24 @@
         let (step, news) = self.lease.borrow_mut().tick(now);
         self.note(news);
         let news = match step {
-            LeaseStep::Wait => LeaseNews::None,
+            LeaseStep::Wait => LeaseChange::None,
             LeaseStep::Read => {
                 let rows = self.edge.store.read_own(&lease_key(&scope()), STORE).await;
                 let rows = rows.inspect_err(|e| log::debug!("planner: lease not read: {e}"));
                 let now = self.edge.now();
-                self.lease.borrow_mut().read(rows.ok().as_ref(), now)
+                self.lease.borrow_mut().apply_rows(rows.ok().as_ref(), now)
             }
             LeaseStep::Send(txn) => {
                 let result = self.send(&txn).await;
-                self.lease.borrow_mut().done(&result, self.edge.now())
+                self.lease
+                    .borrow_mut()
+                    .apply_result(&result, self.edge.now())
             }
         };
         self.note(news);
         let holds = self.lease.borrow().term(self.edge.now()).is_some();
         self.edge.plans.set(holds);
-        self.edge.peers.borrow_mut().shown = self.lease.borrow().shown().filter(|_| holds);
+        self.edge.peers.borrow_mut().shown = self.lease.borrow().snapshot().filter(|_| holds);
     }
 
     /// Whether this daemon looks for the lease now. Not while a holder is
@@ -177,12 +179,12 @@
         }
     }
 
-    fn note(&self, news: LeaseNews) {
+    fn note(&self, news: LeaseChange) {
         let lines = &self.edge.lines;
         match news {
-            LeaseNews::None => {}
-            LeaseNews::Gained { term } => lines.line("lease_gained").with("term", term).write(),
-            LeaseNews::Ended { term } => lines.line("lease_ended").with("term", term).write(),
+            LeaseChange::None => {}
+            LeaseChange::Gained { term } => lines.line("lease_gained").with("term", term).write(),
+            LeaseChange::Ended { term } => lines.line("lease_ended").with("term", term).write(),
         }
     }
 
--- a/crates/thistlesill-planner/src/daemon.rs
+++ b/crates/thistlesill-planner/src/daemon.rs
@@ -134,11 +134,11 @@
             })
             .collect(),
         run: Clock::wall(),
-        probe: Millis::new(config.periods.probe_ms),
-        beat: Millis::new(config.periods.beat_ms),
-        plan: Millis::new(config.periods.plan_ms),
-        renew: Millis::new(config.periods.renew_ms),
-        lease: Millis::new(config.periods.lease_ms),
+        probe_interval: Millis::new(config.periods.probe_ms),
+        heartbeat_interval: Millis::new(config.periods.beat_ms),
+        plan_interval: Millis::new(config.periods.plan_ms),
+        renew_interval: Millis::new(config.periods.renew_ms),
+        lease_length: Millis::new(config.periods.lease_ms),
         strategy: Strategy::default(),
     }
 }
@@ -194,9 +194,13 @@
     fn hear(&mut self, message: Heard) {
         let Heard { from, lag, body } = message;
         match body {
-            PeerBody::Beat(beat) => self.step(PlannerEvent::Beat { from, beat, lag }),
+            PeerBody::Beat(beat) => self.step(PlannerEvent::Heartbeat {
+                from,
+                heartbeat: beat,
+                lag,
+            }),
             PeerBody::Digest(part) => self.step(PlannerEvent::Digest { from, part, lag }),
-            PeerBody::Want => self.step(PlannerEvent::Wanted(from)),
+            PeerBody::Want => self.step(PlannerEvent::DigestRequested(from)),
             PeerBody::Head { revision } => {
                 let take = self.settings_sink();
                 self.feed.heard(&from, revision, self.clock.now(), take);
@@ -230,25 +234,25 @@
                 flight,
                 prefixes,
             } => self.read(hall, flight, prefixes),
-            PlannerAction::Give {
+            PlannerAction::SendOrder {
                 hall,
                 order,
                 address,
             } => self.give(hall, order, address),
-            PlannerAction::TellBeat(beat) => {
+            PlannerAction::SendHeartbeat(beat) => {
                 self.link.tell(&self.config.peers, PeerBody::Beat(beat));
             }
-            PlannerAction::TellDigest { to, parts } => {
+            PlannerAction::SendDigest { to, parts } => {
                 for part in parts {
                     let peers = self.config.peers.iter().filter(|p| p.name == to);
                     self.link.tell(peers, PeerBody::Digest(part));
                 }
             }
-            PlannerAction::AskDigest(to) => {
+            PlannerAction::RequestDigest(to) => {
                 let peers = self.config.peers.iter().filter(|p| p.name == to);
                 self.link.tell(peers, PeerBody::Want);
             }
-            PlannerAction::TellHead(revision) => {
+            PlannerAction::SendHead(revision) => {
                 if let Some(tree) = self.core.tree() {
                     self.feed.shelf.put(tree);
                 }
--- a/crates/thistlesill-policy/examples/placement.rs
+++ b/crates/thistlesill-policy/examples/placement.rs
@@ -8,7 +8,7 @@
 use thistlesill_core::Millis;
 use thistlesill_core::report::Load;
 use thistlesill_core::settings::Shape;
-use thistlesill_policy::placement::{Free, Pool, PoolKey, Want, place};
+use thistlesill_policy::placement::{FreeInstance, Pool, PoolKey, Want, place};
 
 fn main() {
     for (name, weight, spares) in [("downtime", 0.8, 1), ("stranded accelerators", 0.2, 0)] {
@@ -27,7 +27,7 @@
         generation: "old".into(),
         instances,
     };
-    let free = |n: u32| Free {
+    let free = |n: u32| FreeInstance {
         instance: format!("birch-a-{n:02}").into(),
         warm: false,
     };
--- a/crates/thistlesill-policy/src/claim.rs
+++ b/crates/thistlesill-policy/src/claim.rs
@@ -28,7 +28,7 @@
 
 /// A request and the idempotency key that it claims.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ClaimAsk {
+pub struct ClaimParams {
     /// The request.
     pub request: RequestId,
     /// The request's customer; the same key of two customers makes two independent claims.
@@ -57,14 +57,14 @@
 /// What the caller has to do next for the claims.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimStep {
-    /// Send a transaction and pass its result to [`ClaimBook::done`].
+    /// Send a transaction and pass its result to [`Claims::apply_result`].
     Send {
         /// Identifies the transaction.
         flight: u64,
         /// The transaction to send.
         txn: Txn,
     },
-    /// Read rows and pass them to [`ClaimBook::rows`].
+    /// Read rows and pass them to [`Claims::apply_rows`].
     Read {
         /// Identifies the read.
         flight: u64,
@@ -82,7 +82,7 @@
 
 #[derive(Debug, Clone)]
 struct Entry {
-    params: ClaimAsk,
+    params: ClaimParams,
     row_key: RowKey,
     state: ClaimState,
     since: Millis,
@@ -109,7 +109,7 @@
 
 /// The claims of one router.
 #[derive(Debug, Clone)]
-pub struct ClaimBook {
+pub struct Claims {
     chart: Chart<ClaimState, ClaimEvent>,
     me: NodeId,
     entries: BTreeMap<RequestId, Entry>,
@@ -123,7 +123,7 @@
     granted: u64,
 }
 
-impl ClaimBook {
+impl Claims {
     /// Creates a router's state without claims; `me` is the router's name.
     pub fn new(chart: Chart<ClaimState, ClaimEvent>, me: NodeId) -> Self {
         Self {
@@ -147,7 +147,7 @@
     }
 
     /// Returns whether no operation is waiting for the store or in flight.
-    pub fn is_settled(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         self.follow_ups.is_empty() && self.flights.is_empty()
     }
 
@@ -155,7 +155,7 @@
     ///
     /// Two requests with the same key at one router never share a transaction: the second request
     /// is decided here, from the first one's claim.
-    pub fn ask(&mut self, params: ClaimAsk, now: Millis) -> Vec<ClaimStep> {
+    pub fn begin(&mut self, params: ClaimParams, now: Millis) -> Vec<ClaimStep> {
         let row_key: RowKey = claim_key(&params.customer, &params.key).into();
         if let Some(holder) = self.keys.get(&row_key).and_then(|r| self.entries.get(r)) {
             let verdict = if holder.params.body == params.body {
@@ -188,7 +188,7 @@
     }
 
     /// Applies the result of the transaction that `flight` identifies.
-    pub fn done(&mut self, flight: u64, result: &TxnResult) -> Vec<ClaimStep> {
+    pub fn apply_result(&mut self, flight: u64, result: &TxnResult) -> Vec<ClaimStep> {
         let steps = match self.flights.remove(&flight) {
             Some(Flight::Claims(requests)) => self.claims_done(&requests, result),
             Some(Flight::FollowUp(follow_up)) => {
@@ -201,7 +201,7 @@
     }
 
     /// Applies the rows that were read for `flight`; `rows` is `None` if the read failed.
-    pub fn rows(&mut self, flight: u64, rows: Option<&Rows>) -> Vec<ClaimStep> {
+    pub fn apply_rows(&mut self, flight: u64, rows: Option<&Rows>) -> Vec<ClaimStep> {
         let steps = match (self.flights.remove(&flight), rows) {
             (Some(Flight::ReadBack(requests)), Some(rows)) => {
                 self.resolve_read_back(&requests, rows)
--- a/crates/thistlesill-policy/src/claim/settle.rs
+++ b/crates/thistlesill-policy/src/claim/settle.rs
@@ -4,7 +4,7 @@
 use thistlesill_core::row::ClaimRow;
 use thistlesill_core::table::{Rows, Txn, TxnResult};
 
-use super::{ClaimBook, ClaimStep, Entry, Flight, FollowUp};
+use super::{ClaimStep, Claims, Entry, Flight, FollowUp};
 use crate::charts::{ClaimEvent, ClaimState};
 
 /// The minimum time from one follow-up to the next, unless the next one records an outcome.
@@ -12,7 +12,7 @@
 /// How often the row of a claim that was given up with an unknown result is looked for.
 const MAX_LOOKUPS: u32 = 20;
 
-impl ClaimBook {
+impl Claims {
     /// Gives up a claim. If its row may have been written, or may still appear, the row is looked
     /// for and removed.
     pub(super) fn give_up_entry(&mut self, mut entry: Entry) {
--- a/crates/thistlesill-policy/src/drain.rs
+++ b/crates/thistlesill-policy/src/drain.rs
@@ -41,12 +41,12 @@
     }
 
     /// Returns whether the daemon accepts new requests.
-    pub const fn accepts(&self) -> bool {
+    pub const fn accepts_requests(&self) -> bool {
         matches!(self.state, DrainState::Serving | DrainState::Failing)
     }
 
     /// Returns whether the health check passes.
-    pub const fn healthy(&self) -> bool {
+    pub const fn is_healthy(&self) -> bool {
         matches!(self.state, DrainState::Serving)
     }
 
--- a/crates/thistlesill-policy/src/lease.rs
+++ b/crates/thistlesill-policy/src/lease.rs
@@ -18,15 +18,15 @@
 pub enum LeaseStep {
     /// Nothing to do.
     Wait,
-    /// Read the lease row and the term row, and pass them to [`Lease::read`].
+    /// Read the lease row and the term row, and pass them to [`Lease::apply_rows`].
     Read,
-    /// Send a transaction that takes or renews the lease, and pass its result to [`Lease::done`].
+    /// Send a transaction that takes or renews the lease, and pass its result to [`Lease::apply_result`].
     Send(Txn),
 }
 
 /// A change in who holds the lease, as far as this planner is concerned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LeaseNews {
+pub enum LeaseChange {
     /// No change.
     None,
     /// This planner gained the lease.
@@ -51,12 +51,12 @@
     /// How much earlier the holder stops using the lease than others may take it over.
     pub margin: Millis,
     /// An additional wait before a planner of another hall takes the lease over.
-    pub courtesy: Millis,
+    pub grace: Millis,
 }
 
 /// The rows of a lease with their versions, as the holder announces them to others.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LeaseSeen {
+pub struct LeaseSnapshot {
     /// The lease row.
     pub row: LeaseRow,
     /// The version of the lease row.
@@ -150,9 +150,9 @@
     }
 
     /// Returns the rows as they were last written or read, for the holder to announce to others.
-    pub fn shown(&self) -> Option<LeaseSeen> {
+    pub fn snapshot(&self) -> Option<LeaseSnapshot> {
         let known = self.known.as_ref()?;
-        Some(LeaseSeen {
+        Some(LeaseSnapshot {
             row: known.row.clone(),
             version: known.version,
             term_version: known.term_version,
@@ -163,7 +163,7 @@
     ///
     /// The rows were in this state at some moment before `now`, so counting the lease's length from
     /// `now` is safe. If the row changes later, its new version makes the table refuse a takeover.
-    pub fn witness(&mut self, seen: LeaseSeen, now: Millis) {
+    pub fn observe(&mut self, seen: LeaseSnapshot, now: Millis) {
         let newer = self.known.as_ref().is_none_or(|k| k.version < seen.version);
         if self.state != LeaseState::Watching || !newer {
             return;
@@ -182,7 +182,7 @@
     }
 
     /// Checks the time: ends a lease that has run out and returns the next step.
-    pub fn tick(&mut self, now: Millis) -> (LeaseStep, LeaseNews) {
+    pub fn tick(&mut self, now: Millis) -> (LeaseStep, LeaseChange) {
         let change = self.check_lapse(now);
         let due = self
             .last_check
@@ -203,10 +203,10 @@
     }
 
     /// Applies the rows that were read; `rows` is `None` if the read failed.
-    pub fn read(&mut self, rows: Option<&Rows>, now: Millis) -> LeaseNews {
+    pub fn apply_rows(&mut self, rows: Option<&Rows>, now: Millis) -> LeaseChange {
         self.reading = false;
         let Some(rows) = rows else {
-            return LeaseNews::None;
+            return LeaseChange::None;
         };
         let found = self.decode(rows, now);
         let in_doubt = matches!(self.state, LeaseState::Unsure | LeaseState::Doubting);
@@ -222,7 +222,7 @@
         };
         self.known = found;
         if !in_doubt {
-            return LeaseNews::None;
+            return LeaseChange::None;
         }
         if ours {
             return self.granted();
@@ -235,18 +235,18 @@
         if self.state == LeaseState::Doubting && !other_term {
             self.apply(LeaseEvent::Granted);
             self.last_check = None;
-            return LeaseNews::None;
+            return LeaseChange::None;
         }
         self.denied(old_term)
     }
 
     /// Applies the result of a transaction.
-    pub fn done(&mut self, result: &TxnResult, now: Millis) -> LeaseNews {
+    pub fn apply_result(&mut self, result: &TxnResult, now: Millis) -> LeaseChange {
         let old_term = self.known.as_ref().map(|k| k.row.term);
         match result {
             TxnResult::Replied(TxnReply::Committed { version }) => {
                 if !matches!(self.state, LeaseState::Asking | LeaseState::Renewing) {
-                    return LeaseNews::None;
+                    return LeaseChange::None;
                 }
                 self.record_commit(*version, now);
                 self.granted()
@@ -263,7 +263,7 @@
             TxnResult::Replied(TxnReply::Refused { .. }) | TxnResult::Unknown => {
                 self.last_check = None;
                 self.apply(LeaseEvent::Lost);
-                LeaseNews::None
+                LeaseChange::None
             }
         }
     }
@@ -321,10 +321,10 @@
 
     fn may_take(&self, now: Millis) -> bool {
         let Some(known) = &self.known else {
-            let courtesy = self.periods.courtesy;
-            return self.absent_since.is_some_and(|t| now - t >= courtesy);
+            let grace = self.periods.grace;
+            return self.absent_since.is_some_and(|t| now - t >= grace);
         };
-        let wait = self.periods.length + self.periods.courtesy;
+        let wait = self.periods.length + self.periods.grace;
         // A row under this daemon's own name that was not written unchanged_since the daemon started comes
         // from a previous run, which has ended.
         let from_previous_run = known.row.holder == self.me && self.last_beat == 0;
@@ -391,35 +391,35 @@
         });
     }
 
-    fn granted(&mut self) -> LeaseNews {
+    fn granted(&mut self) -> LeaseChange {
         let gained = matches!(self.state, LeaseState::Asking | LeaseState::Unsure);
         self.apply(LeaseEvent::Granted);
         self.valid_until = self.sent_at + self.periods.length - self.periods.margin;
         match &self.known {
-            Some(known) if gained => LeaseNews::Gained {
+            Some(known) if gained => LeaseChange::Gained {
                 term: known.row.term,
             },
-            _ => LeaseNews::None,
+            _ => LeaseChange::None,
         }
     }
 
-    fn denied(&mut self, term: Option<u64>) -> LeaseNews {
+    fn denied(&mut self, term: Option<u64>) -> LeaseChange {
         let held = matches!(self.state, LeaseState::Renewing | LeaseState::Doubting);
         self.apply(LeaseEvent::Denied);
         self.valid_until = Millis::ZERO;
         match term {
-            Some(term) if held => LeaseNews::Ended { term },
-            _ => LeaseNews::None,
+            Some(term) if held => LeaseChange::Ended { term },
+            _ => LeaseChange::None,
         }
     }
 
-    fn check_lapse(&mut self, now: Millis) -> LeaseNews {
+    fn check_lapse(&mut self, now: Millis) -> LeaseChange {
         let held = matches!(
             self.state,
             LeaseState::Holding | LeaseState::Renewing | LeaseState::Doubting
         );
         if !held || now < self.valid_until {
-            return LeaseNews::None;
+            return LeaseChange::None;
         }
         self.apply(LeaseEvent::Lapse);
         // The known row dates from before the lease ran out: read it again first, and count its
@@ -427,7 +427,7 @@
         let term = self.known.take().map_or(0, |k| k.row.term);
         self.absent_since = None;
         self.last_check = None;
-        LeaseNews::Ended { term }
+        LeaseChange::Ended { term }
     }
 
     fn apply(&mut self, event: LeaseEvent) {
--- a/crates/thistlesill-policy/src/placement.rs
+++ b/crates/thistlesill-policy/src/placement.rs
@@ -41,7 +41,7 @@
 
 /// A free instance.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Free {
+pub struct FreeInstance {
     /// The instance.
     pub instance: InstanceId,
     /// Whether the instance held the pool's load when it last reported, so that the weights may
@@ -51,7 +51,7 @@
 
 /// A group that exists.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Existing {
+pub struct ExistingGroup {
     /// The group.
     pub group: GroupId,
     /// The number of members.
@@ -68,9 +68,9 @@
     /// What the settings ask of the pool.
     pub want: Want,
     /// The free instances.
-    pub free: Vec<Free>,
+    pub free: Vec<FreeInstance>,
     /// The existing groups.
-    pub groups: Vec<Existing>,
+    pub groups: Vec<ExistingGroup>,
     /// The number of usable instances that will come free soon, because their groups end.
     pub ending: u32,
     /// The number of listed instances that cannot be used now. Spares replace them.
@@ -81,7 +81,7 @@
 
 /// A group to form.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Forming {
+pub struct NewGroup {
     /// The pool of the members.
     pub pool: PoolKey,
     /// The members in order of rank.
@@ -96,7 +96,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Placement {
     /// The groups to form, in the order of instances gained per weight load.
-    pub form: Vec<Forming>,
+    pub form: Vec<NewGroup>,
     /// Serving groups to drain so that their members can be packed better.
     pub drain: Vec<GroupId>,
 }
--- a/crates/thistlesill-policy/src/placement/baseline.rs
+++ b/crates/thistlesill-policy/src/placement/baseline.rs
@@ -1,6 +1,6 @@
 //! Simple placements as baselines for [`place`](super::place).
 
-use super::{Forming, Placement, Pool, pack};
+use super::{NewGroup, Placement, Pool, pack};
 
 /// Forms groups first fit: takes the first shape that fits the free instances, keeps no spares,
 /// ignores which instances are warm and never breaks up a group.
@@ -18,7 +18,7 @@
         {
             let (members, left) = rest.split_at(shape.instances as usize);
             rest = left;
-            placement.form.push(Forming {
+            placement.form.push(NewGroup {
                 pool: pool.key.clone(),
                 members: members.iter().map(|f| f.instance.clone()).collect(),
                 load: pool.want.load.clone(),
@@ -52,7 +52,7 @@
             if members.len() < size as usize {
                 break;
             }
-            placement.form.push(Forming {
+            placement.form.push(NewGroup {
                 pool: pool.key.clone(),
                 members: members.iter().map(|f| f.instance.clone()).collect(),
                 load: pool.want.load.clone(),
--- a/crates/thistlesill-policy/src/placement/place.rs
+++ b/crates/thistlesill-policy/src/placement/place.rs
@@ -1,6 +1,6 @@
 //! The default placement.
 
-use super::{Forming, Free, Placement, Pool, best_use, pack};
+use super::{FreeInstance, NewGroup, Placement, Pool, best_use, pack};
 use thistlesill_core::Millis;
 
 /// How long a gain in used instances is expected to last, in seconds: the time between failures
@@ -29,24 +29,24 @@
     // A group with few cold members is ready soonest, and a larger group serves more: the groups
     // with the most instances per weight load go first.
     placement.form.sort_by(|a, b| {
-        let gain = |f: &Forming| f.members.len() as f64 / f64::from(f.cold + 1);
+        let gain = |f: &NewGroup| f.members.len() as f64 / f64::from(f.cold + 1);
         gain(b).total_cmp(&gain(a))
     });
     placement
 }
 
 /// Returns the groups to form from free instances.
-fn fill(pool: &Pool) -> Vec<Forming> {
+fn fill(pool: &Pool) -> Vec<NewGroup> {
     let free = pool.free.len() as u32;
     let keep = spares_kept(pool, free);
-    let mut warm_first: Vec<&Free> = pool.free.iter().collect();
+    let mut warm_first: Vec<&FreeInstance> = pool.free.iter().collect();
     warm_first.sort_by_key(|f| (!f.warm, f.instance.clone()));
     let mut rest = warm_first.into_iter();
     let mut forming = Vec::new();
     for size in pack(free - keep, &pool.want.shapes) {
-        let members: Vec<&Free> = rest.by_ref().take(size as usize).collect();
+        let members: Vec<&FreeInstance> = rest.by_ref().take(size as usize).collect();
         let cold = members.iter().filter(|f| !f.warm).count();
-        forming.push(Forming {
+        forming.push(NewGroup {
             pool: pool.key.clone(),
             members: members.iter().map(|f| f.instance.clone()).collect(),
             load: pool.want.load.clone(),
--- a/crates/thistlesill-policy/src/plan.rs
+++ b/crates/thistlesill-policy/src/plan.rs
@@ -65,7 +65,7 @@
         prefixes: Vec<RowKey>,
     },
     /// Send an order to a target, unless the lease has run out by then.
-    Give {
+    SendOrder {
         /// The order to send.
         order: Order,
         /// The address of the target.
--- a/crates/thistlesill-policy/src/plan/hall/holding.rs
+++ b/crates/thistlesill-policy/src/plan/hall/holding.rs
@@ -8,7 +8,7 @@
 use thistlesill_core::timeline::TimelineEvent;
 
 use super::{DEFAULT_ORDER_DELAY, Flight, HallPlanner};
-use crate::lease::{LeaseNews, LeaseStep};
+use crate::lease::{LeaseChange, LeaseStep};
 use crate::plan::PlanAction;
 
 impl HallPlanner {
@@ -31,10 +31,10 @@
         self.update_quiet_period(tree, now);
     }
 
-    pub(super) fn apply_lease_change(&mut self, change: LeaseNews, now: Millis) {
+    pub(super) fn apply_lease_change(&mut self, change: LeaseChange, now: Millis) {
         match change {
-            LeaseNews::None => {}
-            LeaseNews::Gained { term } => {
+            LeaseChange::None => {}
+            LeaseChange::Gained { term } => {
                 self.clear_plan();
                 self.gained_at = now;
                 self.quiet_until = now + self.options.lease.length + DEFAULT_ORDER_DELAY;
@@ -43,7 +43,7 @@
                     term,
                 });
             }
-            LeaseNews::Ended { term } => self.end_term(term),
+            LeaseChange::Ended { term } => self.end_term(term),
         }
     }
 
--- a/crates/thistlesill-policy/src/plan/hall/ordering.rs
+++ b/crates/thistlesill-policy/src/plan/hall/ordering.rs
@@ -124,7 +124,7 @@
                 fence: pending.fence,
                 task: pending.task,
             };
-            self.out.push(PlanAction::Give {
+            self.out.push(PlanAction::SendOrder {
                 order,
                 address: seen.sighting.address,
             });
--- a/crates/thistlesill-policy/src/plan/hall/planning.rs
+++ b/crates/thistlesill-policy/src/plan/hall/planning.rs
@@ -16,7 +16,7 @@
 };
 use crate::charts::{GroupEvent, GroupState};
 use crate::placement::{
-    Existing, Forming, Free, Placement, Pool, PoolKey, first_fit, place, rebuild,
+    ExistingGroup, FreeInstance, NewGroup, Placement, Pool, PoolKey, first_fit, place, rebuild,
 };
 use crate::plan::assess::{Assessment, MemberStatus, assess};
 use crate::plan::{DEFAULT_CONCURRENT_LOADS, MISSING_MEMBER_TIMEOUT, PlanAction, Strategy, pools};
@@ -225,7 +225,7 @@
                 steady: now,
             });
             match self.availability(instance, seen, now) {
-                Availability::Free => pool.free.push(Free {
+                Availability::Free => pool.free.push(FreeInstance {
                     instance: instance.clone(),
                     warm: self.is_warm(instance, &pool.want.load),
                 }),
@@ -239,7 +239,7 @@
             let Some(pool) = key.and_then(|k| pools.get_mut(k)) else {
                 continue;
             };
-            pool.groups.push(Existing {
+            pool.groups.push(ExistingGroup {
                 group: planned.row.group.clone(),
                 size: planned.row.members.len() as u32,
                 settled: planned.state == GroupState::Serving,
@@ -366,7 +366,7 @@
         limit.saturating_sub(busy)
     }
 
-    pub(super) fn new_group(&mut self, forming: Forming, now: Millis) -> Option<GroupRow> {
+    pub(super) fn new_group(&mut self, forming: NewGroup, now: Millis) -> Option<GroupRow> {
         let term = self.lease.term(now)?;
         let epoch = self.next_epoch(term);
         let name = format!("{}-{term}.{}", self.options.hall, self.epoch_counter);
--- a/crates/thistlesill-policy/src/plan/hall/rows.rs
+++ b/crates/thistlesill-policy/src/plan/hall/rows.rs
@@ -30,7 +30,7 @@
     pub(super) fn rows_read(&mut self, flight: u64, rows: Option<&Rows>, now: Millis) {
         match self.flights.remove(&flight) {
             Some(Flight::LeaseRead) => {
-                let lease_change = self.lease.read(rows, now);
+                let lease_change = self.lease.apply_rows(rows, now);
                 self.apply_lease_change(lease_change, now);
             }
             Some(Flight::PlanRead { term }) if self.lease.term(now) == Some(term) => {
@@ -83,7 +83,7 @@
     pub(super) fn txn_done(&mut self, flight: u64, result: &TxnResult, now: Millis) {
         match self.flights.remove(&flight) {
             Some(Flight::LeaseTxn) => {
-                let lease_change = self.lease.done(result, now);
+                let lease_change = self.lease.apply_result(result, now);
                 self.apply_lease_change(lease_change, now);
             }
             Some(Flight::Plan(change)) => match result {
--- a/crates/thistlesill-policy/src/plan/pools.rs
+++ b/crates/thistlesill-policy/src/plan/pools.rs
@@ -7,7 +7,7 @@
 use thistlesill_core::settings::{Context, Tree, Values};
 use thistlesill_core::{GroupId, HallId, InstanceId, Millis, RegionId};
 
-use crate::placement::{Existing, Free, Pool, PoolKey, Want};
+use crate::placement::{ExistingGroup, FreeInstance, Pool, PoolKey, Want};
 
 /// The downtime weight if the settings have none: the root must set it, but settings of an older
 /// release may lack it.
@@ -71,8 +71,8 @@
     pub(super) fn update(
         &mut self,
         key: &PoolKey,
-        free: &[Free],
-        groups: &[Existing],
+        free: &[FreeInstance],
+        groups: &[ExistingGroup],
         now: Millis,
     ) -> Millis {
         let free: Vec<InstanceId> = free.iter().map(|f| f.instance.clone()).collect();
--- a/crates/thistlesill-policy/src/planner.rs
+++ b/crates/thistlesill-policy/src/planner.rs
@@ -15,7 +15,7 @@
 use crate::charts::Charts;
 use crate::lease::LeasePeriods;
 use crate::plan::{HallInfo, HallPlanner, PlanAction, PlanEvent, PlanOptions};
-use crate::presence::{Heard, Observed, View, Watch, WatchPeriods, Watcher, share};
+use crate::presence::{Observed, Received, View, Watch, WatchPeriods, Watcher, share};
 
 pub use self::message::{InstanceInfo, PlannerAction, PlannerEvent, PlannerOptions, PlannerStatus};
 
@@ -61,7 +61,7 @@
             charts: Charts::load()?,
             tree: None,
             listed: Vec::new(),
-            watch: Watch::new(options.run, WatchPeriods::new(options.probe)),
+            watch: Watch::new(options.run, WatchPeriods::new(options.probe_interval)),
             view: View::new(),
             halls: BTreeMap::new(),
             assigned: Vec::new(),
@@ -121,18 +121,22 @@
         match event {
             PlannerEvent::Listed(listed) => self.list(listed),
             PlannerEvent::Reported { report, started } => {
-                self.watch.reported(*report, started, now);
+                self.watch.record_report(*report, started, now);
             }
-            PlannerEvent::Beat { from, beat, lag } => {
-                let received = self.view.beat(&from, &beat, lag, now);
+            PlannerEvent::Heartbeat {
+                from,
+                heartbeat: beat,
+                lag,
+            } => {
+                let received = self.view.apply_heartbeat(&from, &beat, lag, now);
                 self.request_missed(received, from);
             }
             PlannerEvent::Digest { from, part, lag } => {
-                self.view.digest(&from, &part, lag, now);
+                self.view.apply_digest(&from, &part, lag, now);
             }
-            PlannerEvent::Wanted(to) => {
+            PlannerEvent::DigestRequested(to) => {
                 let parts = self.watch.digest(now);
-                self.out.push(PlannerAction::TellDigest { to, parts });
+                self.out.push(PlannerAction::SendDigest { to, parts });
             }
             PlannerEvent::Settings(tree) => self.settings(tree),
             PlannerEvent::TxnDone {
@@ -162,9 +166,9 @@
         std::mem::take(&mut self.out)
     }
 
-    fn request_missed(&mut self, received: Heard, from: NodeId) {
-        if received == Heard::AskDigest {
-            self.out.push(PlannerAction::AskDigest(from));
+    fn request_missed(&mut self, received: Received, from: NodeId) {
+        if received == Received::NeedsDigest {
+            self.out.push(PlannerAction::RequestDigest(from));
         }
     }
 
@@ -180,7 +184,7 @@
         self.tree = Some(tree);
         let note = TimelineEvent::SettingsInForce { revision };
         self.out.push(PlannerAction::Note(note));
-        self.out.push(PlannerAction::TellHead(revision));
+        self.out.push(PlannerAction::SendHead(revision));
     }
 
     /// Replaces the list of instances. An empty list after one with instances is ignored, because
@@ -206,20 +210,20 @@
 
     fn hall_planner(&self, hall: &HallId) -> HallPlanner {
         let is_own_hall = *hall == self.options.hall;
-        let courtesy = if is_own_hall {
+        let grace = if is_own_hall {
             Millis::ZERO
         } else {
-            self.options.lease
+            self.options.lease_length
         };
         let options = PlanOptions {
             name: self.options.name.clone(),
             region: self.options.region.clone(),
             hall: hall.clone(),
             lease: LeasePeriods {
-                renew: self.options.renew,
-                length: self.options.lease,
+                renew: self.options.renew_interval,
+                length: self.options.lease_length,
                 margin: LEASE_MARGIN,
-                courtesy,
+                grace,
             },
             strategy: self.options.strategy,
         };
@@ -257,7 +261,7 @@
                     flight,
                     prefixes,
                 },
-                PlanAction::Give { order, address } => PlannerAction::Give {
+                PlanAction::SendOrder { order, address } => PlannerAction::SendOrder {
                     hall,
                     order,
                     address,
@@ -274,12 +278,15 @@
         self.out.extend(probes);
         if self
             .last_heartbeat
-            .is_none_or(|t| now - t >= self.options.beat)
+            .is_none_or(|t| now - t >= self.options.heartbeat_interval)
         {
             self.last_heartbeat = Some(now);
             self.beat(now);
         }
-        if self.last_plan.is_none_or(|t| now - t >= self.options.plan) {
+        if self
+            .last_plan
+            .is_none_or(|t| now - t >= self.options.plan_interval)
+        {
             self.last_plan = Some(now);
             self.plan(now);
         }
@@ -313,14 +320,14 @@
     }
 
     fn beat(&mut self, now: Millis) {
-        let beat = self.watch.beat(now);
-        let received = self.view.beat(&self.options.name, &beat, 0, now);
-        if received == Heard::AskDigest {
+        let beat = self.watch.next_heartbeat(now);
+        let received = self.view.apply_heartbeat(&self.options.name, &beat, 0, now);
+        if received == Received::NeedsDigest {
             for part in self.watch.digest(now) {
-                self.view.digest(&self.options.name, &part, 0, now);
+                self.view.apply_digest(&self.options.name, &part, 0, now);
             }
         }
-        self.out.push(PlannerAction::TellBeat(beat));
+        self.out.push(PlannerAction::SendHeartbeat(beat));
         self.view.forget(now, WATCHER_RETENTION);
     }
 
@@ -344,7 +351,7 @@
         if now - self.last_head_sent >= HEAD_INTERVAL {
             self.last_head_sent = now;
             let revision = tree.revision();
-            self.out.push(PlannerAction::TellHead(revision));
+            self.out.push(PlannerAction::SendHead(revision));
         }
     }
 
--- a/crates/thistlesill-policy/src/planner/message.rs
+++ b/crates/thistlesill-policy/src/planner/message.rs
@@ -28,15 +28,15 @@
     /// A number that is greater at every start of the planner.
     pub run: u64,
     /// The interval between probes of a target.
-    pub probe: Millis,
+    pub probe_interval: Millis,
     /// The interval between heartbeats.
-    pub beat: Millis,
+    pub heartbeat_interval: Millis,
     /// The interval between updates of the plan.
-    pub plan: Millis,
+    pub plan_interval: Millis,
     /// The interval between renewals of a lease.
-    pub renew: Millis,
+    pub renew_interval: Millis,
     /// How long a lease lasts without a renewal.
-    pub lease: Millis,
+    pub lease_length: Millis,
     /// The placement that forms groups.
     pub strategy: Strategy,
 }
@@ -54,11 +54,11 @@
         started: Millis,
     },
     /// A heartbeat of a watcher arrived.
-    Beat {
+    Heartbeat {
         /// The watcher.
         from: NodeId,
         /// The heartbeat.
-        beat: Heartbeat,
+        heartbeat: Heartbeat,
         /// The local wall clock minus the sender's, in milliseconds.
         lag: i64,
     },
@@ -72,7 +72,7 @@
         lag: i64,
     },
     /// A peer requests this planner's full view.
-    Wanted(NodeId),
+    DigestRequested(NodeId),
     /// A revision of the settings was read.
     Settings(Arc<Tree>),
     /// A transaction finished.
@@ -134,7 +134,7 @@
         prefixes: Vec<RowKey>,
     },
     /// Send an order to a target, unless the hall's lease has run out by then.
-    Give {
+    SendOrder {
         /// The hall whose planner sends the order.
         hall: HallId,
         /// The order to send.
@@ -143,18 +143,18 @@
         address: SocketAddr,
     },
     /// Send a heartbeat to all peers.
-    TellBeat(Heartbeat),
+    SendHeartbeat(Heartbeat),
     /// Send this planner's full view to one peer.
-    TellDigest {
+    SendDigest {
         /// The peer that requested the view.
         to: NodeId,
         /// The parts of the view, one message each.
         parts: Vec<Digest>,
     },
     /// Request a watcher's full view.
-    AskDigest(NodeId),
+    RequestDigest(NodeId),
     /// Send all peers the revision of the settings that is in force here.
-    TellHead(u64),
+    SendHead(u64),
     /// Record an event on the timeline.
     Note(TimelineEvent),
     /// Exit the daemon.
--- a/crates/thistlesill-policy/src/presence.rs
+++ b/crates/thistlesill-policy/src/presence.rs
@@ -8,7 +8,7 @@
 mod view;
 mod watch;
 
-pub use view::{Heard, Measured, Observed, View};
+pub use view::{Observed, PressureSample, Received, View};
 pub use watch::{Watch, WatchPeriods, Watcher, share};
 
 /// The number of watchers that each target has.
--- a/crates/thistlesill-policy/src/presence/view.rs
+++ b/crates/thistlesill-policy/src/presence/view.rs
@@ -9,11 +9,11 @@
 
 /// The result of applying a watcher's message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Heard {
+pub enum Received {
     /// The message was applied.
-    Fine,
+    Applied,
     /// An earlier message was missed, so the watcher's full view has to be requested.
-    AskDigest,
+    NeedsDigest,
     /// The message is older than what is known, and was ignored.
     Stale,
 }
@@ -29,7 +29,7 @@
 
 /// A leader's pressure and when it was measured.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Measured {
+pub struct PressureSample {
     /// The measured pressure.
     pub pressure: Pressure,
     /// When the pressure was measured.
@@ -48,7 +48,7 @@
     /// The smallest difference seen between the local wall clock and the sender's, in milliseconds.
     least_lag: Option<i64>,
     sightings: HashMap<InstanceId, Arc<Sighting>>,
-    gauges: HashMap<InstanceId, Measured>,
+    gauges: HashMap<InstanceId, PressureSample>,
     parts: BTreeMap<u32, Digest>,
 }
 
@@ -77,12 +77,18 @@
     /// What exceeds the smallest lag ever seen from this watcher is time that the heartbeat spent
     /// in transit or in a queue, and the heartbeat counts as that much older. A process that was
     /// paused therefore does not mistake old heartbeats in its socket for new ones.
-    pub fn beat(&mut self, from: &NodeId, heartbeat: &Heartbeat, lag: i64, now: Millis) -> Heard {
+    pub fn apply_heartbeat(
+        &mut self,
+        from: &NodeId,
+        heartbeat: &Heartbeat,
+        lag: i64,
+        now: Millis,
+    ) -> Received {
         let watcher = self.watchers.entry(from.clone()).or_default();
         if heartbeat.run < watcher.run
             || (heartbeat.run == watcher.run && heartbeat.seq <= watcher.seq)
         {
-            return Heard::Stale;
+            return Received::Stale;
         }
         if heartbeat.run > watcher.run {
             watcher.restart(heartbeat.run);
@@ -97,12 +103,12 @@
             watcher.in_sync = true;
         } else if !watcher.in_sync || expected != heartbeat.changes {
             watcher.in_sync = false;
-            return Heard::AskDigest;
+            return Received::NeedsDigest;
         }
         watcher.changes = heartbeat.changes;
         watcher.confirmed = watcher.last_received - heartbeat.oldest;
         for gauge in &heartbeat.gauges {
-            let measured = Measured {
+            let measured = PressureSample {
                 pressure: gauge.pressure,
                 at: watcher.last_received - gauge.pressure.age,
             };
@@ -113,15 +119,21 @@
             watcher.sightings.insert(key, Arc::new(sighting.clone()));
             self.generation += 1;
         }
-        Heard::Fine
+        Received::Applied
     }
 
     /// Applies a part of a watcher's full view. The view replaces the known one once all its parts
     /// have arrived.
-    pub fn digest(&mut self, from: &NodeId, part: &Digest, lag: i64, now: Millis) -> Heard {
+    pub fn apply_digest(
+        &mut self,
+        from: &NodeId,
+        part: &Digest,
+        lag: i64,
+        now: Millis,
+    ) -> Received {
         let watcher = self.watchers.entry(from.clone()).or_default();
         if part.run < watcher.run || (watcher.in_sync && part.changes < watcher.changes) {
-            return Heard::Stale;
+            return Received::Stale;
         }
         if part.run > watcher.run {
             watcher.restart(part.run);
@@ -129,7 +141,7 @@
         watcher.parts.retain(|_, p| p.changes == part.changes);
         watcher.parts.insert(part.part, part.clone());
         if watcher.parts.len() < part.parts as usize {
-            return Heard::Fine;
+            return Received::Applied;
         }
         let delay = watcher.delay(lag);
         let parts = std::mem::take(&mut watcher.parts);
@@ -144,7 +156,7 @@
         watcher.last_received = now - delay;
         watcher.confirmed = watcher.last_received - part.oldest;
         self.generation += 1;
-        Heard::Fine
+        Received::Applied
     }
 
     /// Returns the watchers whose last message is younger than `window`.
@@ -199,7 +211,7 @@
     }
 
     /// Returns the most recent pressure on a leader, over all watchers.
-    pub fn pressure(&self, instance: &str) -> Option<Measured> {
+    pub fn pressure(&self, instance: &str) -> Option<PressureSample> {
         let all = self.watchers.values();
         let found = all.filter_map(|w| w.gauges.get(instance));
         found.max_by_key(|m| m.at).copied()
--- a/crates/thistlesill-policy/src/presence/watch.rs
+++ b/crates/thistlesill-policy/src/presence/watch.rs
@@ -18,9 +18,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WatchPeriods {
     /// The interval between probes of a target.
-    pub probe: Millis,
+    pub probe_interval: Millis,
     /// The age of the last good report at which a target counts as lost.
-    pub lost: Millis,
+    pub lost_after: Millis,
 }
 
 impl WatchPeriods {
@@ -28,8 +28,8 @@
     /// brought no report.
     pub fn new(probe: Millis) -> Self {
         Self {
-            probe,
-            lost: Millis::new(probe.get() * 5 / 2),
+            probe_interval: probe,
+            lost_after: Millis::new(probe.get() * 5 / 2),
         }
     }
 }
@@ -94,7 +94,9 @@
     pub fn due(&mut self, now: Millis) -> Vec<(InstanceId, std::net::SocketAddr)> {
         let mut due = Vec::new();
         for (instance, target) in &mut self.targets {
-            let waits = target.probed.is_some_and(|t| now - t < self.periods.probe);
+            let waits = target
+                .probed
+                .is_some_and(|t| now - t < self.periods.probe_interval);
             if target.in_share && !waits {
                 target.probed = Some(now);
                 due.push((instance.clone(), target.sighting.address));
@@ -104,7 +106,7 @@
     }
 
     /// Records the report that a probe sent at `started` returned.
-    pub fn reported(&mut self, report: Report, started: Millis, now: Millis) {
+    pub fn record_report(&mut self, report: Report, started: Millis, now: Millis) {
         let found = self.targets.get_mut(&report.instance);
         let Some(target) = found.filter(|t| t.in_share) else {
             return;
@@ -132,7 +134,7 @@
     ///
     /// Changes that do not fit are left for the next heartbeat. This is safe because they have not
     /// been confirmed yet. Targets that are lost or leaving go first.
-    pub fn beat(&mut self, now: Millis) -> Heartbeat {
+    pub fn next_heartbeat(&mut self, now: Millis) -> Heartbeat {
         self.mark_lost(now);
         let changed = self.take_changes();
         self.changes += changed.len() as u64;
@@ -182,7 +184,7 @@
     /// Marks targets without a recent report as lost.
     fn mark_lost(&mut self, now: Millis) {
         for target in self.targets.values_mut() {
-            let lost = now - target.confirmed >= self.periods.lost;
+            let lost = now - target.confirmed >= self.periods.lost_after;
             if lost && target.sighting.state != ObservedState::Lost {
                 let mut next = target.sighting.clone();
                 next.state = ObservedState::Lost;
--- a/crates/thistlesill-policy/src/router/core.rs
+++ b/crates/thistlesill-policy/src/router/core.rs
@@ -24,12 +24,12 @@
 use super::{GroupUse, RouterAction, RouterEvent, RouterOptions};
 use crate::budget::RetryBudget;
 use crate::charts::Charts;
-use crate::claim::ClaimBook;
+use crate::claim::Claims;
 use crate::drain::Drain;
 use crate::pick::GroupLoad;
 use crate::presence::View;
 use crate::quarantine::Quarantine;
-use crate::serving::{GroupKey, Roster};
+use crate::serving::{GroupKey, ServerList};
 use crate::share::FairQueue;
 
 /// Presence window while no branch sets one.
@@ -103,14 +103,14 @@
     models: BTreeSet<Model>,
     window: Millis,
     view: View,
-    roster: Roster,
+    roster: ServerList,
     derived: Option<Millis>,
     /// The view's generation that the roster was derived from.
     derived_from: u64,
     loads: BTreeMap<GroupKey, GroupLoad>,
     requests: BTreeMap<RequestId, Request>,
     queue: FairQueue,
-    claims: ClaimBook,
+    claims: Claims,
     budget: RetryBudget,
     /// Requests that end their groups.
     quarantine: Quarantine<GroupKey>,
@@ -142,13 +142,13 @@
             models: BTreeSet::new(),
             window: PRESENCE,
             view: View::new(),
-            roster: Roster::default(),
+            roster: ServerList::default(),
             derived: None,
             derived_from: 0,
             loads: BTreeMap::new(),
             requests: BTreeMap::new(),
             queue: FairQueue::new(options.waiting),
-            claims: ClaimBook::new(charts.claim.clone(), options.name.clone()),
+            claims: Claims::new(charts.claim.clone(), options.name.clone()),
             budget: RetryBudget::default(),
             quarantine: Quarantine::default(),
             untold: Fatal::default(),
@@ -167,7 +167,7 @@
 
     /// Whether the router has settings and is not stopping.
     pub fn is_ready(&self) -> bool {
-        self.tree.is_some() && self.drain.healthy()
+        self.tree.is_some() && self.drain.is_healthy()
     }
 
     /// Whether a request has no final answer yet.
@@ -181,7 +181,7 @@
     }
 
     /// The groups seen.
-    pub const fn roster(&self) -> &Roster {
+    pub const fn roster(&self) -> &ServerList {
         &self.roster
     }
 
@@ -224,11 +224,11 @@
             RouterEvent::Fatal(told) => self.hear_fatal(&told, now),
             RouterEvent::Settings(tree) => self.settings(tree),
             RouterEvent::TxnDone { flight, result } => {
-                let steps = self.claims.done(flight, &result);
+                let steps = self.claims.apply_result(flight, &result);
                 self.claim_steps(steps, now);
             }
             RouterEvent::RowsRead { flight, rows } => {
-                let steps = self.claims.rows(flight, rows.as_ref());
+                let steps = self.claims.apply_rows(flight, rows.as_ref());
                 self.claim_steps(steps, now);
             }
             RouterEvent::Stop => {
--- a/crates/thistlesill-policy/src/router/core/admission.rs
+++ b/crates/thistlesill-policy/src/router/core/admission.rs
@@ -6,7 +6,7 @@
 
 use super::RouterCore;
 use crate::charts::RequestEvent;
-use crate::claim::{ClaimAsk, ClaimStep, Verdict};
+use crate::claim::{ClaimParams, ClaimStep, Verdict};
 use crate::pick::GroupLoad;
 use crate::router::request::{Request, Terms};
 use crate::router::{Arrival, Ending, RouterAction, Wanted, dispatch};
@@ -19,7 +19,7 @@
             request: id,
             customer: arrival.customer.clone(),
         });
-        let Some(tree) = self.tree.clone().filter(|_| self.drain.accepts()) else {
+        let Some(tree) = self.tree.clone().filter(|_| self.drain.accepts_requests()) else {
             self.fail_now(id, ErrorKind::NotReady, None);
             return;
         };
@@ -72,7 +72,7 @@
 
     pub(super) fn claim(&mut self, mut request: Request, now: Millis) {
         let id = request.id();
-        let ask = ClaimAsk {
+        let ask = ClaimParams {
             request: id,
             customer: request.arrival.customer.clone(),
             key: request.arrival.key.clone().unwrap_or_default(),
@@ -81,7 +81,7 @@
         let stepped = request.apply(&self.charts.request, RequestEvent::Claim);
         self.requests.insert(id, request);
         if self.count_refusal(stepped.is_ok()) {
-            let steps = self.claims.ask(ask, now);
+            let steps = self.claims.begin(ask, now);
             self.claim_steps(steps, now);
         }
     }
--- a/crates/thistlesill-policy/src/router/core/presence.rs
+++ b/crates/thistlesill-policy/src/router/core/presence.rs
@@ -10,9 +10,9 @@
 
 use super::{PRESENCE, RouterCore, SLOTS};
 use crate::pick::GroupLoad;
-use crate::presence::Heard;
+use crate::presence::Received;
 use crate::router::RouterAction;
-use crate::serving::{GroupKey, Server, derive};
+use crate::serving::{GroupKey, Server, derive_servers};
 
 impl RouterCore {
     pub(super) fn settings(&mut self, tree: Arc<Tree>) {
@@ -38,10 +38,10 @@
     }
 
     pub(super) fn beat(&mut self, from: &NodeId, beat: &Heartbeat, lag: i64, now: Millis) {
-        match self.view.beat(from, beat, lag, now) {
-            Heard::Stale => return,
-            Heard::AskDigest => self.out.push(RouterAction::AskDigest(from.clone())),
-            Heard::Fine => {}
+        match self.view.apply_heartbeat(from, beat, lag, now) {
+            Received::Stale => return,
+            Received::NeedsDigest => self.out.push(RouterAction::AskDigest(from.clone())),
+            Received::Applied => {}
         }
         for gauge in &beat.gauges {
             let age = self.view.gauge_age(from, gauge, now);
@@ -61,14 +61,14 @@
     }
 
     pub(super) fn digest(&mut self, from: &NodeId, part: &Digest, lag: i64, now: Millis) {
-        if self.view.digest(from, part, lag, now) == Heard::Fine {
+        if self.view.apply_digest(from, part, lag, now) == Received::Applied {
             self.derive(now);
             self.pump(now);
         }
     }
 
     pub(super) fn derive(&mut self, now: Millis) {
-        let roster = derive(&self.view, now, self.window);
+        let roster = derive_servers(&self.view, now, self.window);
         let old: BTreeSet<GroupKey> = self.roster.servers.iter().map(|s| s.key.clone()).collect();
         let new: BTreeSet<GroupKey> = roster.servers.iter().map(|s| s.key.clone()).collect();
         for key in new.difference(&old) {
--- a/crates/thistlesill-policy/src/router/core/time.rs
+++ b/crates/thistlesill-policy/src/router/core/time.rs
@@ -23,7 +23,7 @@
         self.pump(now);
         self.tell(now);
         self.view.forget(now, FORGET);
-        let open = self.requests.len() + usize::from(!self.claims.is_settled());
+        let open = self.requests.len() + usize::from(!self.claims.is_idle());
         let before = self.drain.state();
         if self.drain.tick(now, open) == DrainState::Done && before != DrainState::Done {
             self.out.push(RouterAction::Exit);
--- a/crates/thistlesill-policy/src/router/dispatch.rs
+++ b/crates/thistlesill-policy/src/router/dispatch.rs
@@ -8,7 +8,7 @@
 use super::request::Request;
 use super::{Dispatch, Mode, Wanted};
 use crate::pick::{Candidate, GroupLoad, PickContext, Rule, pick};
-use crate::serving::{GroupKey, Roster, Runs, Server};
+use crate::serving::{GroupKey, Runs, Server, ServerList};
 
 /// What came of looking for a server.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -25,7 +25,7 @@
 
 /// What a pick needs beside the request.
 pub(super) struct Choice<'a> {
-    pub(super) roster: &'a Roster,
+    pub(super) roster: &'a ServerList,
     pub(super) loads: &'a BTreeMap<GroupKey, GroupLoad>,
     pub(super) hall: &'a HallId,
     pub(super) rule: Rule,
@@ -139,7 +139,7 @@
 }
 
 /// Whether any branch or server knows a model.
-pub(super) fn is_served(model: &Model, roster: &Roster) -> bool {
+pub(super) fn is_served(model: &Model, roster: &ServerList) -> bool {
     let runs = |s: &Server| matches!(&s.runs, Runs::Model(load) if load.model == *model);
     roster.servers.iter().any(runs)
 }
--- a/crates/thistlesill-policy/src/serving.rs
+++ b/crates/thistlesill-policy/src/serving.rs
@@ -72,7 +72,7 @@
 /// Why a group that some members report is not complete.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "lack", rename_all = "snake_case")]
-pub enum Lack {
+pub enum IncompleteReason {
     /// No member reports this rank.
     Unreported {
         /// The rank, from 0.
@@ -111,12 +111,12 @@
     /// The group.
     pub key: GroupKey,
     /// Why the group is not complete.
-    pub lacks: Vec<Lack>,
+    pub lacks: Vec<IncompleteReason>,
 }
 
 /// All reported groups, complete or not.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Roster {
+pub struct ServerList {
     /// The groups and plain services that may take requests.
     pub servers: Vec<Server>,
     /// The groups that may not take requests.
@@ -126,9 +126,9 @@
 /// Derives the servers and the incomplete groups from a view.
 ///
 /// `window` is how long a report counts.
-pub fn derive(view: &View, now: Millis, window: Millis) -> Roster {
+pub fn derive_servers(view: &View, now: Millis, window: Millis) -> ServerList {
     let observed = view.observe_all(now, window);
-    let mut roster = Roster::default();
+    let mut roster = ServerList::default();
     let mut groups: BTreeMap<GroupKey, Vec<(&Membership, &Observed)>> = BTreeMap::new();
     for seen in observed.values() {
         match &seen.sighting.state {
@@ -180,27 +180,27 @@
     }
 }
 
-fn incomplete_reasons(members: &[(&Membership, &Observed)], now: Millis) -> Vec<Lack> {
+fn incomplete_reasons(members: &[(&Membership, &Observed)], now: Millis) -> Vec<IncompleteReason> {
     let mut reasons = Vec::new();
     let mut ranks = BTreeSet::new();
     let size = members.iter().map(|(m, _)| m.size).max().unwrap_or(0);
     for (m, seen) in members {
         let instance = seen.sighting.instance.clone();
         if !ranks.insert(m.rank) {
-            reasons.push(Lack::Doubled { rank: m.rank });
+            reasons.push(IncompleteReason::Doubled { rank: m.rank });
         }
         if seen.sighting.leaving {
-            reasons.push(Lack::Leaving { instance });
+            reasons.push(IncompleteReason::Leaving { instance });
         } else if seen.until <= now {
-            reasons.push(Lack::Stale { instance });
+            reasons.push(IncompleteReason::Stale { instance });
         } else if matches!(seen.sighting.state, ObservedState::Loading(_)) {
-            reasons.push(Lack::Loading { instance });
+            reasons.push(IncompleteReason::Loading { instance });
         } else if matches!(seen.sighting.state, ObservedState::Draining(_)) {
-            reasons.push(Lack::Draining { instance });
+            reasons.push(IncompleteReason::Draining { instance });
         }
     }
     let missing = (0..size).filter(|r| !ranks.contains(r));
-    reasons.extend(missing.map(|rank| Lack::Unreported { rank }));
+    reasons.extend(missing.map(|rank| IncompleteReason::Unreported { rank }));
     reasons
 }
 
--- a/crates/thistlesill-policy/tests/claims.rs
+++ b/crates/thistlesill-policy/tests/claims.rs
@@ -7,15 +7,15 @@
 use thistlesill_fakes::Table;
 use thistlesill_fakes::seeded;
 use thistlesill_policy::charts::Charts;
-use thistlesill_policy::claim::{ClaimAsk, ClaimBook, ClaimStep, Verdict};
+use thistlesill_policy::claim::{ClaimParams, ClaimStep, Claims, Verdict};
 
-fn claims(name: &str) -> ClaimBook {
+fn claims(name: &str) -> Claims {
     let charts = Charts::load().expect("sound charts");
-    ClaimBook::new(charts.claim, name.into())
+    Claims::new(charts.claim, name.into())
 }
 
-fn ask(number: u128, key: &str) -> ClaimAsk {
-    ClaimAsk {
+fn ask(number: u128, key: &str) -> ClaimParams {
+    ClaimParams {
         request: RequestId::new(number),
         customer: "c".into(),
         key: key.to_owned(),
@@ -36,7 +36,7 @@
         }
     };
     for n in 0..130 {
-        collect(claims.ask(ask(n, &format!("k{n}")), Millis::new(1)));
+        collect(claims.begin(ask(n, &format!("k{n}")), Millis::new(1)));
     }
     // Two transactions with one claim each are in flight; the other claims wait.
     assert_eq!(flights.len(), 2);
@@ -44,7 +44,7 @@
     while let Some((flight, txn)) = flights.pop() {
         rounds += 1;
         let reply = table.txn(&txn);
-        for step in claims.done(flight, &TxnResult::Replied(reply)) {
+        for step in claims.apply_result(flight, &TxnResult::Replied(reply)) {
             if let ClaimStep::Send { flight, txn } = step {
                 flights.push((flight, txn));
             }
@@ -60,10 +60,10 @@
     table.txn(&Txn::new().put("claims/c/taken", &"x"));
     let mut claims = claims("r0");
     // Two transactions in flight make the next claims share one.
-    let mut steps = claims.ask(ask(1, "a"), Millis::new(1));
-    steps.extend(claims.ask(ask(2, "b"), Millis::new(1)));
-    steps.extend(claims.ask(ask(3, "taken"), Millis::new(1)));
-    steps.extend(claims.ask(ask(4, "d"), Millis::new(1)));
+    let mut steps = claims.begin(ask(1, "a"), Millis::new(1));
+    steps.extend(claims.begin(ask(2, "b"), Millis::new(1)));
+    steps.extend(claims.begin(ask(3, "taken"), Millis::new(1)));
+    steps.extend(claims.begin(ask(4, "d"), Millis::new(1)));
     let mut verdicts = BTreeMap::new();
     let mut now = Millis::new(1);
     for _ in 0..40 {
@@ -72,11 +72,11 @@
             match step {
                 ClaimStep::Send { flight, txn } => {
                     let reply = table.txn(&txn);
-                    next.extend(claims.done(flight, &TxnResult::Replied(reply)));
+                    next.extend(claims.apply_result(flight, &TxnResult::Replied(reply)));
                 }
                 ClaimStep::Read { flight, keys } => {
                     let rows = table.read(&Read { prefixes: keys });
-                    next.extend(claims.rows(flight, Some(&rows)));
+                    next.extend(claims.apply_rows(flight, Some(&rows)));
                 }
                 ClaimStep::Decide { request, verdict } => {
                     verdicts.insert(request, verdict);
@@ -98,11 +98,11 @@
     let mut table = Table::default();
     let mut claims = claims("r0");
     let now = Millis::new(1);
-    let mut steps = claims.ask(ask(1, "a"), now);
-    steps.extend(claims.ask(ask(2, "b"), now));
+    let mut steps = claims.begin(ask(1, "a"), now);
+    steps.extend(claims.begin(ask(2, "b"), now));
     // Two transactions are in flight, so the next two claims would share one.
-    steps.extend(claims.ask(ask(3, "same"), now));
-    steps.extend(claims.ask(ask(4, "same"), now));
+    steps.extend(claims.begin(ask(3, "same"), now));
+    steps.extend(claims.begin(ask(4, "same"), now));
     let mut granted = Vec::new();
     while !steps.is_empty() {
         let mut next = Vec::new();
@@ -110,7 +110,7 @@
             match step {
                 ClaimStep::Send { flight, txn } => {
                     let reply = table.txn(&txn);
-                    next.extend(claims.done(flight, &TxnResult::Replied(reply)));
+                    next.extend(claims.apply_result(flight, &TxnResult::Replied(reply)));
                 }
                 ClaimStep::Decide {
                     request,
@@ -154,7 +154,7 @@
 impl Session {
     fn deliver(
         &mut self,
-        claims: &mut ClaimBook,
+        claims: &mut Claims,
         steps: Vec<ClaimStep>,
         deliveries: &mut impl Iterator<Item = u8>,
     ) -> Vec<ClaimStep> {
@@ -164,12 +164,12 @@
             match step {
                 ClaimStep::Send { flight, txn } => {
                     let result = self.txn(txn, delivery);
-                    next.extend(claims.done(flight, &result));
+                    next.extend(claims.apply_result(flight, &result));
                 }
                 ClaimStep::Read { flight, keys } => {
                     let rows = matches!(delivery, Delivery::Delivered)
                         .then(|| self.table.read(&Read { prefixes: keys }));
-                    next.extend(claims.rows(flight, rows.as_ref()));
+                    next.extend(claims.apply_rows(flight, rows.as_ref()));
                 }
                 ClaimStep::Decide { request, verdict } => self.record(request, &verdict),
             }
@@ -221,7 +221,7 @@
             let now = Millis::new(1 + round * 60);
             if let Some(second) = asks.next() {
                 let router = usize::from(second);
-                let asked = routers[router].ask(ask(u128::from(round), "k"), now);
+                let asked = routers[router].begin(ask(u128::from(round), "k"), now);
                 steps[router].extend(asked);
             }
             for router in 0..2 {
--- a/crates/thistlesill-policy/tests/lease.rs
+++ b/crates/thistlesill-policy/tests/lease.rs
@@ -9,7 +9,7 @@
 use thistlesill_core::table::{Read, RowKey, Rows, Txn, TxnReply, TxnResult};
 use thistlesill_fakes::Table;
 use thistlesill_policy::charts::Charts;
-use thistlesill_policy::lease::{Lease, LeaseNews, LeasePeriods, LeaseStep};
+use thistlesill_policy::lease::{Lease, LeaseChange, LeasePeriods, LeaseStep};
 use thistlesill_policy::plan::{HallPlanner, PlanAction, PlanEvent, PlanOptions, Strategy};
 use thistlesill_policy::presence::View;
 
@@ -17,7 +17,7 @@
     renew: Millis::new(2_000),
     length: Millis::new(8_000),
     margin: Millis::new(1_500),
-    courtesy: Millis::ZERO,
+    grace: Millis::ZERO,
 };
 const START: Millis = Millis::new(1_000_000);
 
@@ -35,21 +35,21 @@
 }
 
 /// Ticks a lease and carries out its steps until there are none left; returns the changes.
-fn run_lease(lease: &mut Lease, table: &mut Table, now: Millis) -> Vec<LeaseNews> {
+fn run_lease(lease: &mut Lease, table: &mut Table, now: Millis) -> Vec<LeaseChange> {
     let mut lease_changes = Vec::new();
     loop {
         let (step, change) = lease.tick(now);
         lease_changes.push(change);
         match step {
             LeaseStep::Wait => break,
-            LeaseStep::Read => lease_changes.push(lease.read(Some(&read(table)), now)),
+            LeaseStep::Read => lease_changes.push(lease.apply_rows(Some(&read(table)), now)),
             LeaseStep::Send(txn) => {
                 let result = TxnResult::Replied(table.txn(&txn));
-                lease_changes.push(lease.done(&result, now));
+                lease_changes.push(lease.apply_result(&result, now));
             }
         }
     }
-    lease_changes.retain(|change| *change != LeaseNews::None);
+    lease_changes.retain(|change| *change != LeaseChange::None);
     lease_changes
 }
 
@@ -63,7 +63,7 @@
     let (mut a, mut b) = (lease("a"), lease("b"));
     assert_eq!(
         run_lease(&mut a, &mut table, START),
-        vec![LeaseNews::Gained { term: 1 }]
+        vec![LeaseChange::Gained { term: 1 }]
     );
     assert!(run_lease(&mut b, &mut table, START).is_empty());
     assert_eq!(a.term(START), Some(1));
@@ -88,9 +88,9 @@
     run_lease(&mut b, &mut table, START);
     assert!(run_lease(&mut b, &mut table, at(7_900)).is_empty());
     let gained = run_lease(&mut b, &mut table, at(8_100));
-    assert_eq!(gained, vec![LeaseNews::Gained { term: 2 }]);
+    assert_eq!(gained, vec![LeaseChange::Gained { term: 2 }]);
     let ended = run_lease(&mut a, &mut table, at(8_200));
-    assert_eq!(ended, vec![LeaseNews::Ended { term: 1 }]);
+    assert_eq!(ended, vec![LeaseChange::Ended { term: 1 }]);
 }
 
 /// Returns a lease that `a` holds and has not renewed, and that `b` tried to take over without
@@ -102,7 +102,7 @@
     run_lease(&mut b, &mut table, START);
     let (step, _) = b.tick(at(8_100));
     assert!(matches!(step, LeaseStep::Send(_)), "{step:?}");
-    b.done(&TxnResult::Unknown, at(8_600));
+    b.apply_result(&TxnResult::Unknown, at(8_600));
     (table, a, b)
 }
 
@@ -114,9 +114,9 @@
     let (mut table, a, mut b) = asked_in_an_outage();
     let (step, _) = b.tick(at(8_700));
     assert!(matches!(step, LeaseStep::Read), "{step:?}");
-    b.read(None, at(9_200));
+    b.apply_rows(None, at(9_200));
     let gained = run_lease(&mut b, &mut table, at(11_300));
-    assert_eq!(gained, vec![LeaseNews::Gained { term: 2 }]);
+    assert_eq!(gained, vec![LeaseChange::Gained { term: 2 }]);
     assert_eq!(a.term(at(11_300)), None);
 }
 
@@ -127,7 +127,7 @@
     run_lease(&mut a, &mut table, at(2_000));
     assert!(run_lease(&mut b, &mut table, at(11_300)).is_empty());
     assert!(run_lease(&mut b, &mut table, at(19_200)).is_empty());
-    let gained = vec![LeaseNews::Gained { term: 2 }];
+    let gained = vec![LeaseChange::Gained { term: 2 }];
     assert_eq!(run_lease(&mut b, &mut table, at(19_400)), gained);
 }
 
@@ -141,7 +141,7 @@
     table.txn(&garbage);
     assert!(run_lease(&mut b, &mut table, at(2_000)).is_empty());
     assert!(run_lease(&mut b, &mut table, at(9_900)).is_empty());
-    let gained = LeaseNews::Gained { term: 2 };
+    let gained = LeaseChange::Gained { term: 2 };
     assert_eq!(run_lease(&mut b, &mut table, at(10_000)), vec![gained]);
     assert_eq!(a.term(at(10_000)), None);
 }
@@ -180,8 +180,8 @@
     let (step, _) = a.tick(at(2_000));
     assert!(matches!(step, LeaseStep::Send(_)), "{step:?}");
     // The renewal does not reach the table, and its result is unknown.
-    a.done(&TxnResult::Unknown, at(3_500));
-    a.read(Some(&read(&mut table)), at(3_600));
+    a.apply_result(&TxnResult::Unknown, at(3_500));
+    a.apply_rows(Some(&read(&mut table)), at(3_600));
     assert_eq!(a.term(at(6_499)), Some(1));
     assert_eq!(a.term(at(6_600)), None, "only the first write counts");
 }
@@ -194,10 +194,10 @@
     let (step, _) = a.tick(at(2_000));
     assert!(matches!(step, LeaseStep::Send(_)), "{step:?}");
     // The renewal does not reach the table, and its result is unknown.
-    a.done(&TxnResult::Unknown, at(3_500));
+    a.apply_result(&TxnResult::Unknown, at(3_500));
     let (step, _) = a.tick(at(3_500));
     assert_eq!(step, LeaseStep::Read);
-    a.read(Some(&read(&mut table)), at(3_600));
+    a.apply_rows(Some(&read(&mut table)), at(3_600));
     // Over half of the lease's length has passed, so the renewal must not wait another interval.
     let (step, _) = a.tick(at(3_600));
     assert!(matches!(step, LeaseStep::Send(_)), "{step:?}");
@@ -211,15 +211,15 @@
     let (LeaseStep::Send(late), _) = a.tick(at(2_000)) else {
         panic!("a renewal");
     };
-    a.done(&TxnResult::Unknown, at(3_500));
-    a.read(Some(&read(&mut table)), at(3_600));
+    a.apply_result(&TxnResult::Unknown, at(3_500));
+    a.apply_rows(Some(&read(&mut table)), at(3_600));
     let (LeaseStep::Send(_), _) = a.tick(at(4_100)) else {
         panic!("a second renewal");
     };
     // The first renewal takes effect now; the second one is lost.
     table.txn(&late);
-    a.done(&TxnResult::Unknown, at(5_600));
-    a.read(Some(&read(&mut table)), at(5_700));
+    a.apply_result(&TxnResult::Unknown, at(5_600));
+    a.apply_rows(Some(&read(&mut table)), at(5_700));
     assert_eq!(
         a.term(at(6_600)),
         None,
@@ -237,7 +237,7 @@
     assert_eq!(a.term(at(100)), None);
     assert_eq!(
         run_lease(&mut b, &mut table, at(200)),
-        vec![LeaseNews::Gained { term: 2 }]
+        vec![LeaseChange::Gained { term: 2 }]
     );
 }
 
@@ -266,7 +266,7 @@
         gauges: Vec::new(),
     };
     let mut view = View::new();
-    view.beat(&"w".into(), &beat, 0, now);
+    view.apply_heartbeat(&"w".into(), &beat, 0, now);
     view
 }
 
@@ -315,7 +315,7 @@
                         let rows = Some(table.read(&Read { prefixes }));
                         next.extend(planner.step(PlanEvent::RowsRead { flight, rows }, now));
                     }
-                    PlanAction::Give { .. } | PlanAction::Note(_) => {}
+                    PlanAction::SendOrder { .. } | PlanAction::Note(_) => {}
                 }
             }
             actions = next;
--- a/crates/thistlesill-policy/tests/load.rs
+++ b/crates/thistlesill-policy/tests/load.rs
@@ -216,12 +216,15 @@
     let charts = Charts::load().expect("sound charts");
     let mut drain = Drain::new(charts.drain, Millis::new(100), Millis::new(1_000));
     drain.tick(NOW, 0);
-    assert!(drain.healthy());
+    assert!(drain.is_healthy());
     drain.stop(NOW);
-    assert!(!drain.healthy());
-    assert!(drain.accepts(), "the balancer may not have noticed yet");
+    assert!(!drain.is_healthy());
+    assert!(
+        drain.accepts_requests(),
+        "the balancer may not have noticed yet"
+    );
     drain.tick(NOW + Millis::new(100), 3);
-    assert!(!drain.accepts());
+    assert!(!drain.accepts_requests());
     assert_eq!(drain.tick(NOW + Millis::new(500), 1), DrainState::Closing);
     assert_eq!(drain.tick(NOW + Millis::new(600), 0), DrainState::Done);
 }
--- a/crates/thistlesill-policy/tests/placement.rs
+++ b/crates/thistlesill-policy/tests/placement.rs
@@ -8,7 +8,7 @@
 use thistlesill_core::settings::Shape;
 use thistlesill_fakes::seeded;
 use thistlesill_policy::placement::{
-    Existing, Free, Placement, Pool, PoolKey, Want, best_use, pack, place,
+    ExistingGroup, FreeInstance, Placement, Pool, PoolKey, Want, best_use, pack, place,
 };
 
 fn shape(instances: u32) -> Shape {
@@ -31,7 +31,7 @@
             spares,
         },
         free: (0..free)
-            .map(|n| Free {
+            .map(|n| FreeInstance {
                 instance: format!("i{n:03}").into(),
                 warm: n % 2 == 0,
             })
@@ -39,7 +39,7 @@
         groups: groups
             .iter()
             .enumerate()
-            .map(|(n, size)| Existing {
+            .map(|(n, size)| ExistingGroup {
                 group: format!("g{n}").into(),
                 size: *size,
                 settled: true,
--- a/crates/thistlesill-replay/src/slopes/cores.rs
+++ b/crates/thistlesill-replay/src/slopes/cores.rs
@@ -8,12 +8,12 @@
 use thistlesill_core::settings::{Branch, Shape, Tree};
 use thistlesill_core::{InstanceId, Millis, RequestId};
 use thistlesill_policy::pick::Rule;
-use thistlesill_policy::placement::{Existing, Free, Pool, PoolKey, Want, place};
+use thistlesill_policy::placement::{ExistingGroup, FreeInstance, Pool, PoolKey, Want, place};
 use thistlesill_policy::presence::{View, Watch, WatchPeriods};
 use thistlesill_policy::router::{
     Arrival, AttemptEvent, RouterAction, RouterCore, RouterEvent, RouterOptions, Wanted,
 };
-use thistlesill_policy::serving::derive;
+use thistlesill_policy::serving::derive_servers;
 
 use super::fit::{Point, Slope, micros};
 
@@ -131,7 +131,7 @@
     let mut view = View::new();
     for watcher in ["p0", "p1", "p2"] {
         let all: Vec<Sighting> = (0..count).map(sighting).collect();
-        view.beat(&watcher.into(), &beat(1, count as u64, all), 0, NOW);
+        view.apply_heartbeat(&watcher.into(), &beat(1, count as u64, all), 0, NOW);
     }
     view
 }
@@ -141,19 +141,19 @@
     let names: Vec<_> = (0..watchers).map(|n| format!("p{n}").into()).collect();
     for name in &names {
         let all: Vec<Sighting> = (0..54).map(sighting).collect();
-        view.beat(name, &beat(1, 54, all), 0, NOW);
+        view.apply_heartbeat(name, &beat(1, 54, all), 0, NOW);
     }
     micros(ROUNDS, 2_000, |n| {
         let name = &names[n % watchers];
         let seq = 2 + (n / watchers) as u64;
-        view.beat(name, &beat(seq, 54, Vec::new()), 0, NOW);
+        view.apply_heartbeat(name, &beat(seq, 54, Vec::new()), 0, NOW);
     })
 }
 
 fn roster(count: usize) -> f64 {
     let view = view(count);
     micros(ROUNDS, 20, |_| {
-        let roster = derive(&view, NOW, WINDOW);
+        let roster = derive_servers(&view, NOW, WINDOW);
         assert_eq!(roster.servers.len(), count / MEMBERS);
     })
 }
@@ -283,10 +283,10 @@
     let mine: Vec<ListedInstance> = (0..count).map(listed).collect();
     watch.assign(&mine, NOW);
     for n in 0..count {
-        watch.reported(report(n), NOW, NOW);
+        watch.record_report(report(n), NOW, NOW);
     }
     for _ in 0..count {
-        watch.beat(NOW);
+        watch.next_heartbeat(NOW);
     }
     watch
 }
@@ -295,14 +295,14 @@
     let mut watch = watch(count);
     micros(ROUNDS, 2_000, |n| {
         let at = NOW + Millis::new(n as u64 / count as u64);
-        watch.reported(report(n % count), at, at);
+        watch.record_report(report(n % count), at, at);
     })
 }
 
 fn beat_made(count: usize) -> f64 {
     let mut watch = watch(count);
     micros(ROUNDS, 500, |_| {
-        let beat = watch.beat(NOW);
+        let beat = watch.next_heartbeat(NOW);
         assert!(beat.changed.is_empty());
     })
 }
@@ -325,13 +325,13 @@
             spares: 2,
         },
         free: (groups * MEMBERS..instances - 1)
-            .map(|n| Free {
+            .map(|n| FreeInstance {
                 instance: instance(n),
                 warm: true,
             })
             .collect(),
         groups: (0..groups)
-            .map(|n| Existing {
+            .map(|n| ExistingGroup {
                 group: format!("g{n}").into(),
                 size: MEMBERS as u32,
                 settled: true,
--- a/crates/thistlesill-replay/src/stage.rs
+++ b/crates/thistlesill-replay/src/stage.rs
@@ -236,11 +236,11 @@
                 })
                 .collect(),
             run: self.now.get(),
-            probe: Millis::new(1_000),
-            beat: Millis::new(500),
-            plan: Millis::new(500),
-            renew: Millis::new(2_000),
-            lease: Millis::new(8_000),
+            probe_interval: Millis::new(1_000),
+            heartbeat_interval: Millis::new(500),
+            plan_interval: Millis::new(500),
+            renew_interval: Millis::new(2_000),
+            lease_length: Millis::new(8_000),
             strategy: self.options.strategy,
         })
         .expect("sound charts")
--- a/crates/thistlesill-replay/src/stage/daemons.rs
+++ b/crates/thistlesill-replay/src/stage/daemons.rs
@@ -43,15 +43,15 @@
                 let rows = self.read(prefixes);
                 self.planner_step(n, PlannerEvent::RowsRead { hall, flight, rows });
             }
-            PlannerAction::Give { hall, order, .. } => self.give_or_hold(n, hall, order),
-            PlannerAction::TellBeat(beat) => self.tell_beat(n, &beat),
-            PlannerAction::TellDigest { to, parts } => {
+            PlannerAction::SendOrder { hall, order, .. } => self.give_or_hold(n, hall, order),
+            PlannerAction::SendHeartbeat(beat) => self.tell_beat(n, &beat),
+            PlannerAction::SendDigest { to, parts } => {
                 for part in parts {
                     let from = self.planners[n].seat.name.clone();
                     self.post(n, &to, Mail::Digest(from, part, self.now));
                 }
             }
-            PlannerAction::AskDigest(to) => {
+            PlannerAction::RequestDigest(to) => {
                 let from = self.planners[n].seat.name.clone();
                 self.post(n, &to, Mail::Want(from));
             }
@@ -62,7 +62,7 @@
                 let node = daemon.seat.name.clone();
                 self.records.push(Record { stamp, node, what });
             }
-            PlannerAction::TellHead(_) | PlannerAction::Exit => {}
+            PlannerAction::SendHead(_) | PlannerAction::Exit => {}
         }
     }
 
--- a/crates/thistlesill-replay/src/stage/mail.rs
+++ b/crates/thistlesill-replay/src/stage/mail.rs
@@ -57,9 +57,9 @@
         for mail in std::mem::take(&mut self.planners[n].inbox) {
             let lag = |sent: Millis| (self.now - sent).get().cast_signed();
             let event = match mail {
-                Mail::Beat(from, beat, sent) => PlannerEvent::Beat {
+                Mail::Beat(from, beat, sent) => PlannerEvent::Heartbeat {
                     from,
-                    beat,
+                    heartbeat: beat,
                     lag: lag(sent),
                 },
                 Mail::Digest(from, part, sent) => PlannerEvent::Digest {
@@ -67,7 +67,7 @@
                     part,
                     lag: lag(sent),
                 },
-                Mail::Want(from) => PlannerEvent::Wanted(from),
+                Mail::Want(from) => PlannerEvent::DigestRequested(from),
                 Mail::Usage(..) | Mail::Fatal(_) => continue,
             };
             self.planner_step(n, event);
--- a/crates/thistlesill-replay/tests/it/groups.rs
+++ b/crates/thistlesill-replay/tests/it/groups.rs
@@ -3,8 +3,8 @@
 use thistlesill_core::message::{Heartbeat, ObservedState, Sighting};
 use thistlesill_core::report::{Load, Membership};
 use thistlesill_core::{GroupId, Millis};
-use thistlesill_policy::presence::{Heard, View};
-use thistlesill_policy::serving::derive;
+use thistlesill_policy::presence::{Received, View};
+use thistlesill_policy::serving::derive_servers;
 use thistlesill_replay::stage::{Power, Stage};
 
 use crate::support::{
@@ -249,12 +249,12 @@
     let mut view = View::new();
     let now = Millis::new(1_000_000);
     let truth = vec![sighting(0, 2, 0), sighting(1, 1, 1)];
-    view.beat(&"p0".into(), &beat(1, 2, truth), 0, now);
-    assert_eq!(derive(&view, now, WINDOW).servers.len(), 1);
+    view.apply_heartbeat(&"p0".into(), &beat(1, 2, truth), 0, now);
+    assert_eq!(derive_servers(&view, now, WINDOW).servers.len(), 1);
     // Another watcher reached a stale process under the same address.
     let stale = vec![sighting(0, 1, 0)];
-    view.beat(&"p1".into(), &beat(1, 1, stale), 0, now);
-    let roster = derive(&view, now, WINDOW);
+    view.apply_heartbeat(&"p1".into(), &beat(1, 1, stale), 0, now);
+    let roster = derive_servers(&view, now, WINDOW);
     assert!(
         roster.servers.is_empty(),
         "watchers that differ count for nothing"
@@ -266,11 +266,11 @@
     let mut view = View::new();
     let now = Millis::new(1_000_000);
     let both = vec![sighting(0, 1, 0), sighting(1, 1, 1)];
-    view.beat(&"p0".into(), &beat(1, 2, both), 0, now);
+    view.apply_heartbeat(&"p0".into(), &beat(1, 2, both), 0, now);
     // Beat 2 with a change is lost; beat 3 tells that there were 3 changes.
-    let heard = view.beat(&"p0".into(), &beat(3, 3, Vec::new()), 0, now);
-    assert_eq!(heard, Heard::AskDigest);
-    assert!(derive(&view, now, WINDOW).servers.is_empty());
+    let heard = view.apply_heartbeat(&"p0".into(), &beat(3, 3, Vec::new()), 0, now);
+    assert_eq!(heard, Received::NeedsDigest);
+    assert!(derive_servers(&view, now, WINDOW).servers.is_empty());
 }
 
 #[test]
@@ -278,9 +278,9 @@
     let mut view = View::new();
     let now = Millis::new(1_000_000);
     let both = vec![sighting(0, 1, 0), sighting(1, 1, 1)];
-    view.beat(&"p0".into(), &beat(1, 2, both), 5, now);
+    view.apply_heartbeat(&"p0".into(), &beat(1, 2, both), 5, now);
     let later = now + Millis::new(30_000);
     // A beat that spent 28 s in a queue vouches for nothing any more.
-    view.beat(&"p0".into(), &beat(2, 2, Vec::new()), 28_005, later);
-    assert!(derive(&view, later, WINDOW).servers.is_empty());
+    view.apply_heartbeat(&"p0".into(), &beat(2, 2, Vec::new()), 28_005, later);
+    assert!(derive_servers(&view, later, WINDOW).servers.is_empty());
 }
--- a/crates/thistlesill-standins/src/bench.rs
+++ b/crates/thistlesill-standins/src/bench.rs
@@ -8,7 +8,7 @@
 use thistlesill_core::{Millis, RequestId};
 use thistlesill_fakes::{DomainSpec, EngineOptions, FleetFile, HallSpec};
 use thistlesill_net::engine::{Engines, StreamAsk, StreamCall, StreamEvent};
-use thistlesill_policy::serving::{Roster, Server};
+use thistlesill_policy::serving::{Server, ServerList};
 use thistlesill_replay::slopes::{Point, Slope, line};
 use thistlesill_standins::harness::{Deployment, Kind, Options};
 
@@ -149,7 +149,7 @@
     let deployment = Deployment::start(options(16)).await;
     deployment.put_settings();
     assert!(deployment.wait_servers(4, FORMED).await, "groups formed");
-    let roster: Roster = deployment
+    let roster: ServerList = deployment
         .admin_get(Role::Router, 0, "/admin/groups")
         .await
         .expect("the router's groups");
