--- a/crates/thistlesill-policy/src/claim.rs
+++ b/crates/thistlesill-policy/src/claim.rs
@@ -391,13 +391,13 @@
                 (None, _) => {
                     self.apply(*request, ClaimEvent::None);
                 }
-                (Some(_), claim) => steps.extend(self.taken(*request, claim)),
+                (Some(_), claim) => steps.extend(self.reject_taken(*request, claim)),
             }
         }
         steps
     }
 
-    fn taken(&mut self, request: RequestId, claim: Option<ClaimRow>) -> Option<ClaimStep> {
+    fn reject_taken(&mut self, request: RequestId, claim: Option<ClaimRow>) -> Option<ClaimStep> {
         self.apply(request, ClaimEvent::Other)?;
         let entry = self.remove_entry(request)?;
         let verdict = match claim {
--- a/crates/thistlesill-policy/src/lease.rs
+++ b/crates/thistlesill-policy/src/lease.rs
@@ -66,7 +66,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Known {
+struct KnownRow {
     row: LeaseRow,
     version: u64,
     term_version: u64,
@@ -81,7 +81,7 @@
     me: NodeId,
     hall: HallId,
     periods: LeasePeriods,
-    known: Option<Known>,
+    known: Option<KnownRow>,
     /// When the rows were first read and found absent.
     absent_since: Option<Millis>,
     sent_at: Millis,
@@ -168,7 +168,7 @@
         if self.state != LeaseState::Watching || !newer {
             return;
         }
-        self.known = Some(Known {
+        self.known = Some(KnownRow {
             row: seen.row,
             version: seen.version,
             term_version: seen.term_version,
@@ -284,13 +284,13 @@
         Some(txn)
     }
 
-    fn decode(&self, rows: &Rows, now: Millis) -> Option<Known> {
+    fn decode(&self, rows: &Rows, now: Millis) -> Option<KnownRow> {
         let lease = rows.find(&lease_key(&self.hall))?;
         let term = rows.find(&term_key(&self.hall));
         let row = lease.decode().unwrap_or_else(|_| self.fallback_row(term));
         let term_version = term.map_or(0, |r| r.version);
         let same = self.known.as_ref().filter(|k| k.version == lease.version);
-        Some(Known {
+        Some(KnownRow {
             row,
             version: lease.version,
             term_version,
@@ -383,7 +383,7 @@
         } else {
             self.term_version()
         };
-        self.known = Some(Known {
+        self.known = Some(KnownRow {
             row,
             version,
             term_version,
--- a/crates/thistlesill-policy/src/planner.rs
+++ b/crates/thistlesill-policy/src/planner.rs
@@ -125,10 +125,10 @@
             }
             PlannerEvent::Heartbeat {
                 from,
-                heartbeat: beat,
+                heartbeat,
                 lag,
             } => {
-                let received = self.view.apply_heartbeat(&from, &beat, lag, now);
+                let received = self.view.apply_heartbeat(&from, &heartbeat, lag, now);
                 self.request_missed(received, from);
             }
             PlannerEvent::Digest { from, part, lag } => {
@@ -281,14 +281,14 @@
             .is_none_or(|t| now - t >= self.options.heartbeat_interval)
         {
             self.last_heartbeat = Some(now);
-            self.beat(now);
+            self.send_heartbeat(now);
         }
         if self
             .last_plan
             .is_none_or(|t| now - t >= self.options.plan_interval)
         {
             self.last_plan = Some(now);
-            self.plan(now);
+            self.update_plans(now);
         }
         self.send_head(now);
     }
@@ -319,19 +319,21 @@
         alive
     }
 
-    fn beat(&mut self, now: Millis) {
-        let beat = self.watch.next_heartbeat(now);
-        let received = self.view.apply_heartbeat(&self.options.name, &beat, 0, now);
+    fn send_heartbeat(&mut self, now: Millis) {
+        let heartbeat = self.watch.next_heartbeat(now);
+        let received = self
+            .view
+            .apply_heartbeat(&self.options.name, &heartbeat, 0, now);
         if received == Received::NeedsDigest {
             for part in self.watch.digest(now) {
                 self.view.apply_digest(&self.options.name, &part, 0, now);
             }
         }
-        self.out.push(PlannerAction::SendHeartbeat(beat));
+        self.out.push(PlannerAction::SendHeartbeat(heartbeat));
         self.view.forget(now, WATCHER_RETENTION);
     }
 
-    fn plan(&mut self, now: Millis) {
+    fn update_plans(&mut self, now: Millis) {
         if self.stopping {
             return;
         }
--- a/crates/thistlesill-policy/src/presence/watch.rs
+++ b/crates/thistlesill-policy/src/presence/watch.rs
@@ -26,10 +26,10 @@
 impl WatchPeriods {
     /// Creates the durations for a probe interval: a target is lost when two probes in a row
     /// brought no report.
-    pub fn new(probe: Millis) -> Self {
+    pub fn new(probe_interval: Millis) -> Self {
         Self {
-            probe_interval: probe,
-            lost_after: Millis::new(probe.get() * 5 / 2),
+            probe_interval,
+            lost_after: Millis::new(probe_interval.get() * 5 / 2),
         }
     }
 }
--- a/crates/thistlesill-policy/src/serving.rs
+++ b/crates/thistlesill-policy/src/serving.rs
@@ -128,11 +128,11 @@
 /// `window` is how long a report counts.
 pub fn derive_servers(view: &View, now: Millis, window: Millis) -> ServerList {
     let observed = view.observe_all(now, window);
-    let mut roster = ServerList::default();
+    let mut list = ServerList::default();
     let mut groups: BTreeMap<GroupKey, Vec<(&Membership, &Observed)>> = BTreeMap::new();
     for seen in observed.values() {
         match &seen.sighting.state {
-            ObservedState::Service(name) => roster.servers.extend(service(name, seen, now)),
+            ObservedState::Service(name) => list.servers.extend(service(name, seen, now)),
             ObservedState::Loading(m) | ObservedState::Ready(m) | ObservedState::Draining(m) => {
                 let key = GroupKey {
                     group: m.group.clone(),
@@ -146,12 +146,12 @@
     for (key, members) in groups {
         let lacks = incomplete_reasons(&members, now);
         if lacks.is_empty() {
-            roster.servers.push(server(key, &members));
+            list.servers.push(server(key, &members));
         } else {
-            roster.incomplete.push(Incomplete { key, lacks });
+            list.incomplete.push(Incomplete { key, lacks });
         }
     }
-    roster
+    list
 }
 
 fn service(name: &ServiceName, seen: &Observed, now: Millis) -> Option<Server> {
