--- a/crates/thistlesill-policy/src/claim.rs
+++ b/crates/thistlesill-policy/src/claim.rs
@@ -23,7 +23,7 @@
 const CLAIM_TIMEOUT: Millis = Millis::new(2_000);
 /// The minimum interval between two reads of the rows that decide [`ClaimState::Unsure`] claims.
 const READ_BACK_INTERVAL: Millis = Millis::new(100);
-/// The maximum number of follow-up operations that wait for the store.
+/// The maximum number of follow-up operations that wait for the store; further ones are dropped.
 const MAX_FOLLOW_UPS: usize = 4_096;
 
 /// A request and the idempotency key that it claims.
@@ -146,7 +146,7 @@
         (self.granted, self.transactions)
     }
 
-    /// Returns whether no operation is waiting for the store or in flight.
+    /// Returns whether no follow-up is waiting and no transaction or read is in flight.
     pub fn is_idle(&self) -> bool {
         self.follow_ups.is_empty() && self.flights.is_empty()
     }
--- a/crates/thistlesill-policy/src/lease.rs
+++ b/crates/thistlesill-policy/src/lease.rs
@@ -20,7 +20,8 @@
     Wait,
     /// Read the lease row and the term row, and pass them to [`Lease::apply_rows`].
     Read,
-    /// Send a transaction that takes or renews the lease, and pass its result to [`Lease::apply_result`].
+    /// Send a transaction that takes or renews the lease, and pass its result to
+    /// [`Lease::apply_result`].
     Send(Txn),
 }
 
@@ -231,7 +232,7 @@
         // a lease that ran out during an outage of the store is taken over as soon as the store
         // returns. Counting its length anew left the hall without a planner for another 2.6 s.
         // After a renewal with an unknown result, the lease is still held as long as the term is
-        // the same. The renewal is repeated at once, unchanged_since much of the lease's length has passed.
+        // the same. The renewal is repeated at once, since much of the lease's length has passed.
         if self.state == LeaseState::Doubting && !other_term {
             self.apply(LeaseEvent::Granted);
             self.last_check = None;
@@ -325,7 +326,7 @@
             return self.absent_since.is_some_and(|t| now - t >= grace);
         };
         let wait = self.periods.length + self.periods.grace;
-        // A row under this daemon's own name that was not written unchanged_since the daemon started comes
+        // A row under this daemon's own name that was not written since the daemon started comes
         // from a previous run, which has ended.
         let from_previous_run = known.row.holder == self.me && self.last_beat == 0;
         known.row.free || from_previous_run || now - known.unchanged_since >= wait
--- a/crates/thistlesill-policy/src/placement.rs
+++ b/crates/thistlesill-policy/src/placement.rs
@@ -95,7 +95,7 @@
 /// The groups to form and to drain.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Placement {
-    /// The groups to form, in the order of instances gained per weight load.
+    /// The groups to form; [`place()`] puts those with the most instances per weight load first.
     pub form: Vec<NewGroup>,
     /// Serving groups to drain so that their members can be packed better.
     pub drain: Vec<GroupId>,
--- a/crates/thistlesill-policy/src/placement/baseline.rs
+++ b/crates/thistlesill-policy/src/placement/baseline.rs
@@ -1,4 +1,4 @@
-//! Simple placements as baselines for [`place`](super::place).
+//! Simple placements as baselines for [`place`](fn@super::place).
 
 use super::{NewGroup, Placement, Pool, pack};
 
--- a/crates/thistlesill-policy/src/plan.rs
+++ b/crates/thistlesill-policy/src/plan.rs
@@ -22,7 +22,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Strategy {
-    /// The default placement, [`place`](crate::placement::place), which weighs downtime against
+    /// The default placement, [`place`](fn@crate::placement::place), which weighs downtime against
     /// stranded accelerators.
     #[default]
     Weighed,
--- a/crates/thistlesill-policy/src/presence/watch.rs
+++ b/crates/thistlesill-policy/src/presence/watch.rs
@@ -300,7 +300,7 @@
 }
 
 /// Updates a listed target and keeps its known state, or creates it as lost if it is new or has
-/// moved.
+/// a new address.
 fn update_target(old: Option<Target>, entry: &ListedInstance, now: Millis) -> Target {
     let fresh = Target {
         in_share: true,
