--- a/crates/thistlesill-policy/src/budget.rs
+++ b/crates/thistlesill-policy/src/budget.rs
@@ -1,80 +1,80 @@
-//! The retry budget and the back-off between attempts.
+//! Retry budget and backoff between attempts.
 
 use rand::RngExt;
 use thistlesill_core::Millis;
 
-/// Retries that may be saved up while nothing fails.
-const MAX_SAVED: f64 = 10.0;
-/// The first back-off.
-const FIRST_BACKOFF: Millis = Millis::new(25);
-/// The longest back-off.
+/// Retries that may accumulate while nothing fails.
+const DEFAULT_CAPACITY: f64 = 10.0;
+/// Maximum backoff before the second attempt.
+const INITIAL_BACKOFF: Millis = Millis::new(25);
+/// Maximum backoff before any attempt.
 const MAX_BACKOFF: Millis = Millis::new(1_000);
 
-/// Caps retries at a part of the first attempts.
+/// Limits retries to a fraction of the first attempts.
 ///
-/// Every first attempt earns a fraction of a retry; every retry costs one.
-/// So the extra load on failing targets is bounded over any span by
-/// `percent` of the requests plus the savings.
+/// This is a token bucket: every first attempt adds a fraction of a token, and every retry takes
+/// one. The extra load on failing targets is thus bounded over any period by `percent` of the
+/// requests plus the capacity.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RetryBudget {
-    saved: f64,
-    most: f64,
+    tokens: f64,
+    capacity: f64,
 }
 
 impl Default for RetryBudget {
     fn default() -> Self {
         Self {
-            saved: MAX_SAVED,
-            most: MAX_SAVED,
+            tokens: DEFAULT_CAPACITY,
+            capacity: DEFAULT_CAPACITY,
         }
     }
 }
 
 impl RetryBudget {
-    /// A budget that saves up to `most` retries and starts with half of
-    /// them, so that a daemon that restarts again and again does not add
-    /// `most` each time.
-    pub const fn saving(most: f64) -> Self {
+    /// Creates a budget of up to `capacity` retries. It starts half full, so that a daemon that
+    /// restarts again and again does not add `capacity` each time.
+    pub const fn saving(capacity: f64) -> Self {
         Self {
-            saved: most / 2.0,
-            most,
+            tokens: capacity / 2.0,
+            capacity,
         }
     }
 
-    /// Changes how many retries may be saved, as daemons come and go.
-    pub const fn cap(&mut self, most: f64) {
-        self.most = most;
-        self.saved = self.saved.min(most);
+    /// Changes the capacity, as daemons come and go.
+    pub const fn cap(&mut self, capacity: f64) {
+        self.capacity = capacity;
+        self.tokens = self.tokens.min(capacity);
     }
 
-    /// Notes a first attempt.
+    /// Adds `percent` hundredths of a retry, for a first attempt.
     pub fn earn(&mut self, percent: u32) {
         self.earn_part(f64::from(percent) / 100.0);
     }
 
-    /// Notes a first attempt that earns `part` of a retry.
+    /// Adds `part` of a retry, for a first attempt.
     pub const fn earn_part(&mut self, part: f64) {
-        self.saved = (self.saved + part).min(self.most);
+        self.tokens = (self.tokens + part).min(self.capacity);
     }
 
-    /// Whether there is a retry in the budget.
+    /// Returns whether the budget allows a retry.
     pub fn has_retry(&self) -> bool {
-        self.saved >= 1.0
+        self.tokens >= 1.0
     }
 
-    /// Takes a retry out of the budget, if there is one.
+    /// Takes a retry out of the budget; returns whether there was one.
     pub fn spend(&mut self) -> bool {
         if !self.has_retry() {
             return false;
         }
-        self.saved -= 1.0;
+        self.tokens -= 1.0;
         true
     }
 }
 
-/// The wait before attempt `attempt` (from 2), with full jitter.
+/// Returns the wait before attempt number `attempt`, counted from 1, with full jitter. The first
+/// retry is attempt 2.
 pub fn backoff(attempt: u32, rng: &mut impl rand::Rng) -> Millis {
     let doublings = attempt.saturating_sub(2).min(16);
-    let cap = (FIRST_BACKOFF.get() << doublings).min(MAX_BACKOFF.get());
+    let cap = (INITIAL_BACKOFF.get() << doublings).min(MAX_BACKOFF.get());
     Millis::new(rng.random_range(0..=cap))
 }
--- a/crates/thistlesill-policy/src/lib.rs
+++ b/crates/thistlesill-policy/src/lib.rs
@@ -1,10 +1,9 @@
-//! The decisions of thistlesill: placement, leases, presence, routing,
-//! admission, retries, claims and drain.
+//! Decision logic of thistlesill: placement, leases, presence, routing, admission, retries, claims
+//! and drain.
 //!
-//! Every decision is a step from a state, an event and the time to a new
-//! state and what to do next. Nothing here reads a clock, opens a socket or
-//! draws from a random source that was not seeded by the caller, so golden
-//! files and recorded traces drive the very code that ships.
+//! Every decision is a step from a state, an event and the current time to a new state and a list
+//! of actions. Nothing here reads a clock, opens a socket or uses a random source that the caller
+//! did not seed, so golden files and recorded traces run the same code as production.
 
 pub mod budget;
 pub mod charts;
--- a/crates/thistlesill-policy/src/limit.rs
+++ b/crates/thistlesill-policy/src/limit.rs
@@ -1,53 +1,55 @@
-//! The limit on requests that a group runs at a time, adapted to how long
-//! its first tokens take.
+//! Adaptive limit on the concurrent requests of a group, driven by its time to first token.
 
 use thistlesill_core::Millis;
 
-/// What the limit is multiplied with when first tokens come late.
-const DECREASE: f64 = 0.85;
-/// The least time between two decreases: one per round of answers.
-const DECREASE_GAP: Millis = Millis::new(500);
+/// Factor applied to the limit when a first token is late.
+const DECREASE_FACTOR: f64 = 0.85;
+/// Minimum time between two decreases: one per round of answers.
+const MIN_DECREASE_INTERVAL: Millis = Millis::new(500);
 
-/// An additive-increase, multiplicative-decrease limit.
+/// Additive-increase, multiplicative-decrease limit.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Limit {
+pub struct AdaptiveLimit {
     value: f64,
     ceiling: f64,
-    lowered: Option<Millis>,
+    lowered_at: Option<Millis>,
 }
 
-impl Limit {
-    /// A limit that starts at its ceiling of `slots`.
+impl AdaptiveLimit {
+    /// Creates a limit that starts at its ceiling of `slots`, which counts as 1 if it is 0.
     pub fn new(slots: u32) -> Self {
         let ceiling = f64::from(slots.max(1));
         Self {
             value: ceiling,
             ceiling,
-            lowered: None,
+            lowered_at: None,
         }
     }
 
-    /// The number of requests allowed at a time, at least one.
+    /// Returns the number of concurrent requests allowed, at least 1.
     pub const fn get(&self) -> u32 {
         self.value as u32
     }
 
-    /// Changes the ceiling when the settings do.
+    /// Changes the ceiling; a limit above it is lowered to it.
     pub fn set_ceiling(&mut self, slots: u32) {
         self.ceiling = f64::from(slots.max(1));
         self.value = self.value.min(self.ceiling);
     }
 
-    /// Learns how long a first token took against what is wanted.
+    /// Adjusts the limit to a first token that arrived after `took`, against a target time of
+    /// `wanted`.
     pub fn observe(&mut self, took: Millis, wanted: Millis, now: Millis) {
         if took <= wanted {
             self.value = (self.value + 1.0 / self.value).min(self.ceiling);
             return;
         }
-        let recent = self.lowered.is_some_and(|t| now - t < DECREASE_GAP);
+        let recent = self
+            .lowered_at
+            .is_some_and(|t| now - t < MIN_DECREASE_INTERVAL);
         if !recent {
-            self.value = (self.value * DECREASE).max(1.0);
-            self.lowered = Some(now);
+            self.value = (self.value * DECREASE_FACTOR).max(1.0);
+            self.lowered_at = Some(now);
         }
     }
 }
--- a/crates/thistlesill-policy/src/pick.rs
+++ b/crates/thistlesill-policy/src/pick.rs
@@ -1,8 +1,8 @@
-//! Which group gets a request.
+//! Selection of the group that gets a request.
 //!
-//! The engines' load reports lag, so a router adds what it sent and takes
-//! off what ended since the report. A group's slowness is learnt from first
-//! tokens; it fades towards the others' so that a group is tried again.
+//! The load reports of engines lag, so a router adds the requests that it sent since the report and
+//! subtracts those that ended. The slowness of a group is learned from first tokens; it decays
+//! towards the average of the others, so that a slow group is tried again.
 
 use std::collections::VecDeque;
 
@@ -11,204 +11,217 @@
 use thistlesill_core::Millis;
 use thistlesill_core::report::{CacheEvent, Pressure};
 
-use crate::limit::Limit;
+use crate::limit::AdaptiveLimit;
 use crate::prefix::PrefixHints;
 
-/// The slowness assumed of a group before its first answer, in milliseconds
-/// per request in front.
-const FIRST_SLOWNESS: f64 = 50.0;
-/// Weight of a new observation of slowness.
-const LEARNING: f64 = 0.2;
-/// Time after which half of an old observation has faded, in milliseconds.
-const FADE: f64 = 15_000.0;
-/// What remains of the expected wait when the prefix is cached.
-const CACHED_PART: f64 = 0.7;
-/// Added to the expected wait in another hall, in milliseconds.
-const FAR: f64 = 3.0;
-/// How long a group that failed a request is passed over at first.
-const SUSPECT: Millis = Millis::new(1_000);
-/// How often that time doubles at most.
+/// Slowness of a group before its first answer, in milliseconds per request in front.
+const INITIAL_SLOWNESS_MS: f64 = 50.0;
+/// Weight of a new observation in the moving average of slowness.
+const SLOWNESS_WEIGHT: f64 = 0.2;
+/// Time after which half of the difference to the average slowness has decayed, in milliseconds.
+const SLOWNESS_DECAY_MS: f64 = 15_000.0;
+/// Factor on the expected wait when the prefix is cached.
+const CACHED_WAIT_RATIO: f64 = 0.7;
+/// Penalty on the expected wait for a group in another hall, in milliseconds.
+const OTHER_HALL_PENALTY_MS: f64 = 3.0;
+/// How long a group is avoided after its first failure.
+const INITIAL_SUSPECT_TIME: Millis = Millis::new(1_000);
+/// Maximum number of times that this period doubles.
 const MAX_DOUBLINGS: u32 = 3;
-/// Sends and ends kept for correcting reports.
-const MAX_RECENT: usize = 512;
+/// Maximum number of sends, and of ends, kept to correct reports.
+const MAX_RECENT_EVENTS: usize = 512;
 
-/// The rule for picking a group; the first is what ships, the others are the
-/// baselines that it is measured against.
+/// Rule for picking a group. Production uses the default; the others are baselines for comparison.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Rule {
-    /// Of a few drawn at random, the least expected wait by corrected load.
+    /// The lowest expected wait by corrected load, among a random sample.
     #[default]
     Corrected,
-    /// The least reported load, as reported.
+    /// The lowest load as reported.
     LeastReported,
-    /// The less loaded of two drawn at random, as reported.
+    /// The lower load as reported, of two groups drawn at random.
     TwoReported,
-    /// One after the other.
+    /// All groups in turn.
     RoundRobin,
 }
 
-/// Groups drawn by [`Rule::Corrected`].
-const DRAWN: usize = 4;
+/// Number of groups drawn by [`Rule::Corrected`].
+const SAMPLE_SIZE: usize = 4;
 
-/// What a router knows of one group's load.
+/// Load of one group, estimated from its reports and the router's own requests.
 #[derive(Debug, Clone)]
 pub struct GroupLoad {
     pressure: Pressure,
-    measured: Millis,
+    measured_at: Millis,
     running: u32,
     sends: VecDeque<Millis>,
     ends: VecDeque<Millis>,
-    limit: Limit,
+    limit: AdaptiveLimit,
     slowness: f64,
-    learnt: Millis,
+    observed_at: Millis,
     hints: PrefixHints,
-    suspect: Option<Millis>,
+    suspect_until: Option<Millis>,
     /// Failures since the last first token.
-    failures: u32,
+    consecutive_failures: u32,
 }
 
 impl GroupLoad {
-    /// A group with nothing known, that may run `slots` requests.
+    /// Creates the load of a group without reports that may run `slots` requests.
     pub fn new(slots: u32) -> Self {
         Self {
             pressure: Pressure::default(),
-            measured: Millis::ZERO,
+            measured_at: Millis::ZERO,
             running: 0,
             sends: VecDeque::new(),
             ends: VecDeque::new(),
-            limit: Limit::new(slots),
-            slowness: FIRST_SLOWNESS,
-            learnt: Millis::ZERO,
+            limit: AdaptiveLimit::new(slots),
+            slowness: INITIAL_SLOWNESS_MS,
+            observed_at: Millis::ZERO,
             hints: PrefixHints::default(),
-            suspect: None,
-            failures: 0,
+            suspect_until: None,
+            consecutive_failures: 0,
         }
     }
 
-    /// Takes in a report that is `age` old.
-    pub fn report(&mut self, pressure: Pressure, age: Millis, now: Millis) {
-        let measured = now - age;
-        if measured < self.measured {
+    /// Applies a load report that was measured `age` ago. A report older than the last one is
+    /// ignored.
+    pub fn apply_report(&mut self, pressure: Pressure, age: Millis, now: Millis) {
+        let measured_at = now - age;
+        if measured_at < self.measured_at {
             return;
         }
         self.pressure = pressure;
-        self.measured = measured;
-        drop_until(&mut self.sends, measured);
-        drop_until(&mut self.ends, measured);
+        self.measured_at = measured_at;
+        drop_until(&mut self.sends, measured_at);
+        drop_until(&mut self.ends, measured_at);
     }
 
-    /// Takes in cache events.
-    pub fn learn_prefixes(&mut self, events: &[CacheEvent], now: Millis) {
-        self.hints.learn(events, now);
+    /// Applies prefix cache events of the group's leader.
+    pub fn apply_cache_events(&mut self, events: &[CacheEvent], now: Millis) {
+        self.hints.apply_events(events, now);
     }
 
-    /// Changes the most requests allowed.
+    /// Changes the maximum number of concurrent requests.
     pub fn set_slots(&mut self, slots: u32) {
         self.limit.set_ceiling(slots);
     }
 
-    /// Notes a request sent there.
-    pub fn sent(&mut self, prefix: Option<u64>, now: Millis) {
+    /// Records that a request was sent to the group.
+    pub fn record_send(&mut self, prefix: Option<u64>, now: Millis) {
         self.running += 1;
         push_recent(&mut self.sends, now);
         if let Some(prefix) = prefix {
-            self.hints.note(prefix, now);
+            self.hints.record(prefix, now);
         }
     }
 
-    /// Notes that a request sent there has ended.
-    pub fn ended(&mut self, now: Millis) {
+    /// Records that a request sent to the group has ended.
+    pub fn record_end(&mut self, now: Millis) {
         self.running = self.running.saturating_sub(1);
         push_recent(&mut self.ends, now);
     }
 
-    /// Learns from a first token that took `took`, when `ahead` requests
-    /// were there at its sending.
-    pub fn first_token(&mut self, took: Millis, ahead: u32, wanted: Millis, now: Millis) {
-        let each = took.get() as f64 / f64::from(ahead + 1);
-        self.slowness += LEARNING * (each - self.slowness);
-        self.learnt = now;
-        self.failures = 0;
+    /// Updates slowness and limit from a first token that arrived after `took`, when `ahead`
+    /// requests were at the group at the time of sending; `wanted` is the target time.
+    pub fn record_first_token(&mut self, took: Millis, ahead: u32, wanted: Millis, now: Millis) {
+        let per_request = took.get() as f64 / f64::from(ahead + 1);
+        self.slowness += SLOWNESS_WEIGHT * (per_request - self.slowness);
+        self.observed_at = now;
+        self.consecutive_failures = 0;
         self.limit.observe(took, wanted, now);
     }
 
-    /// Notes a failure: the group is passed over for a while, and for longer
-    /// with each failure in a row.
-    pub fn failed(&mut self, now: Millis) {
-        let doublings = self.failures.min(MAX_DOUBLINGS);
-        self.failures += 1;
-        self.suspect = Some(now + Millis::new(SUSPECT.get() << doublings));
+    /// Records a failure: the group is avoided for a while, and for longer with each failure in a
+    /// row.
+    pub fn record_failure(&mut self, now: Millis) {
+        let doublings = self.consecutive_failures.min(MAX_DOUBLINGS);
+        self.consecutive_failures += 1;
+        self.suspect_until = Some(now + Millis::new(INITIAL_SUSPECT_TIME.get() << doublings));
     }
 
-    /// Whether the group failed a short while ago.
+    /// Returns whether the group failed recently and is to be avoided.
     pub fn is_suspect(&self, now: Millis) -> bool {
-        self.suspect.is_some_and(|until| until > now)
+        self.suspect_until.is_some_and(|until| until > now)
     }
 
-    /// Requests believed to be there now.
+    /// Returns an estimate of the requests at the group now.
     pub fn occupancy(&self) -> u32 {
         let reported = self.pressure.running + self.pressure.waiting;
         let since = (reported + self.sends.len() as u32).saturating_sub(self.ends.len() as u32);
         since.max(self.running)
     }
 
-    /// Requests of this router there.
+    /// Returns the number of this router's requests at the group.
     pub const fn running(&self) -> u32 {
         self.running
     }
 
-    /// Whether another request fits under the limit.
+    /// Returns whether the limit allows another request.
     pub fn has_room(&self) -> bool {
         self.occupancy() < self.limit.get()
     }
 
-    /// The limit in force.
+    /// Returns the adaptive limit in force.
     pub const fn limit(&self) -> u32 {
         self.limit.get()
     }
 
-    /// Requests as last reported, uncorrected.
+    /// Returns the requests as last reported, without correction.
     pub const fn reported(&self) -> u32 {
         self.pressure.running + self.pressure.waiting
     }
 
-    /// The expected wait for the first token, in milliseconds.
-    pub fn expected_wait(&self, prefix: Option<u64>, near: bool, mean: f64, now: Millis) -> f64 {
-        let kept = FADE / (FADE + (now - self.learnt).get() as f64);
-        let slowness = mean + (self.slowness - mean) * kept;
-        let cached = prefix.is_some_and(|p| self.hints.has(p, now));
-        let part = if cached { CACHED_PART } else { 1.0 };
-        let far = if near { 0.0 } else { FAR };
-        slowness * f64::from(self.occupancy() + 1) * part + far
+    /// Returns the expected wait for the first token, in milliseconds.
+    ///
+    /// `same_hall` is whether the group is in the router's own hall, and `mean` the average slowness of
+    /// the candidates.
+    pub fn expected_wait(
+        &self,
+        prefix: Option<u64>,
+        same_hall: bool,
+        mean: f64,
+        now: Millis,
+    ) -> f64 {
+        let weight =
+            SLOWNESS_DECAY_MS / (SLOWNESS_DECAY_MS + (now - self.observed_at).get() as f64);
+        let slowness = mean + (self.slowness - mean) * weight;
+        let cached = prefix.is_some_and(|p| self.hints.is_cached(p, now));
+        let ratio = if cached { CACHED_WAIT_RATIO } else { 1.0 };
+        let penalty = if same_hall {
+            0.0
+        } else {
+            OTHER_HALL_PENALTY_MS
+        };
+        slowness * f64::from(self.occupancy() + 1) * ratio + penalty
     }
 }
 
 /// A group that may get the request.
 #[derive(Debug, Clone, Copy)]
 pub struct Candidate<'a> {
-    /// Its position in the caller's list.
+    /// Index in the caller's list, returned by [`pick`].
     pub index: usize,
-    /// Its load.
+    /// Load of the group.
     pub load: &'a GroupLoad,
-    /// Whether it is in the router's own hall.
-    pub near: bool,
+    /// Whether the group is in the router's own hall.
+    pub same_hall: bool,
 }
 
-/// What a pick looks at beside the candidates.
+/// Inputs of a pick other than the candidates.
 #[derive(Debug, Clone, Copy)]
 pub struct PickContext {
-    /// The rule.
+    /// Rule to apply.
     pub rule: Rule,
-    /// Hash of the request's prefix.
+    /// Hash of the beginning of the request's prompt.
     pub prefix: Option<u64>,
-    /// The time.
+    /// Current time.
     pub now: Millis,
-    /// Counts the picks, for taking turns.
-    pub turn: u64,
+    /// Number of picks so far, for [`Rule::RoundRobin`].
+    pub pick_count: u64,
 }
 
-/// Picks one of the candidates; returns its `index`.
+/// Picks one of the candidates and returns its `index`; `None` if there are none.
 pub fn pick(
     candidates: &[Candidate<'_>],
     context: &PickContext,
@@ -218,11 +231,11 @@
         return None;
     }
     let chosen = match context.rule {
-        Rule::RoundRobin => candidates.get(context.turn as usize % candidates.len()),
+        Rule::RoundRobin => candidates.get(context.pick_count as usize % candidates.len()),
         Rule::LeastReported => candidates.iter().min_by_key(|c| c.load.reported()),
         Rule::TwoReported => {
-            let drawn = draw(candidates, 2, rng);
-            drawn.into_iter().min_by_key(|c| c.load.reported())
+            let sample = draw_sample(candidates, 2, rng);
+            sample.into_iter().min_by_key(|c| c.load.reported())
         }
         Rule::Corrected => least_wait(candidates, context, rng),
     };
@@ -235,16 +248,18 @@
     rng: &mut impl rand::Rng,
 ) -> Option<&'b Candidate<'a>> {
     let mean = mean_slowness(candidates);
-    let mut drawn = draw(candidates, DRAWN, rng);
+    let mut sample = draw_sample(candidates, SAMPLE_SIZE, rng);
     if let Some(prefix) = context.prefix {
-        let cached = |c: &&Candidate<'_>| c.load.hints.has(prefix, context.now);
-        drawn.extend(candidates.iter().find(cached));
+        let cached = |c: &&Candidate<'_>| c.load.hints.is_cached(prefix, context.now);
+        sample.extend(candidates.iter().find(cached));
     }
     let wait = |c: &Candidate<'_>| {
         c.load
-            .expected_wait(context.prefix, c.near, mean, context.now)
+            .expected_wait(context.prefix, c.same_hall, mean, context.now)
     };
-    drawn.into_iter().min_by(|a, b| wait(a).total_cmp(&wait(b)))
+    sample
+        .into_iter()
+        .min_by(|a, b| wait(a).total_cmp(&wait(b)))
 }
 
 fn mean_slowness(candidates: &[Candidate<'_>]) -> f64 {
@@ -252,8 +267,8 @@
     sum / candidates.len() as f64
 }
 
-/// Draws up to `count` candidates, possibly one twice.
-fn draw<'a, 'b>(
+/// Draws up to `count` candidates at random, possibly one of them twice.
+fn draw_sample<'a, 'b>(
     candidates: &'b [Candidate<'a>],
     count: usize,
     rng: &mut impl rand::Rng,
@@ -266,7 +281,7 @@
 }
 
 fn push_recent(list: &mut VecDeque<Millis>, now: Millis) {
-    if list.len() == MAX_RECENT {
+    if list.len() == MAX_RECENT_EVENTS {
         list.pop_front();
     }
     list.push_back(now);
--- a/crates/thistlesill-policy/src/prefix.rs
+++ b/crates/thistlesill-policy/src/prefix.rs
@@ -1,73 +1,73 @@
-//! What a router believes of a group's prefix cache.
+//! Estimate of the contents of a group's prefix cache.
 //!
-//! Cache events arrive late and with gaps, so an entry is a hint: it ages,
-//! and a gap in the events ages all entries at once.
+//! Cache events arrive late and with gaps, so an entry is a hint that expires, and a gap in the
+//! events shortens the lifetime of all entries.
 
 use std::collections::HashMap;
 
 use thistlesill_core::Millis;
 use thistlesill_core::report::CacheEvent;
 
-/// How long a hint is trusted without news.
-const TRUSTED: Millis = Millis::new(60_000);
-/// How long hints older than a gap are trusted.
-const TRUSTED_AFTER_GAP: Millis = Millis::new(10_000);
-/// Entries kept per group; the oldest go first.
+/// Lifetime of a hint that is not confirmed again.
+const HINT_TTL: Millis = Millis::new(60_000);
+/// Remaining lifetime of hints that are older than a gap in the events.
+const HINT_TTL_AFTER_GAP: Millis = Millis::new(10_000);
+/// Maximum number of hints per group; the one that expires first is evicted.
 const MAX_ENTRIES: usize = 1_024;
 
-/// Hints about one group's prefix cache.
+/// Prefixes that one group's cache is expected to hold.
 #[derive(Debug, Clone, Default)]
 pub struct PrefixHints {
-    seq: u64,
-    until: HashMap<u64, Millis>,
+    last_seq: u64,
+    expiry: HashMap<u64, Millis>,
 }
 
 impl PrefixHints {
-    /// Takes in events of the group's leader.
-    pub fn learn(&mut self, events: &[CacheEvent], now: Millis) {
+    /// Applies cache events of the group's leader.
+    pub fn apply_events(&mut self, events: &[CacheEvent], now: Millis) {
         for event in events {
-            if event.seq <= self.seq {
+            if event.seq <= self.last_seq {
                 continue;
             }
-            if event.seq > self.seq + 1 {
-                self.shorten(now + TRUSTED_AFTER_GAP);
+            if event.seq > self.last_seq + 1 {
+                self.shorten(now + HINT_TTL_AFTER_GAP);
             }
-            self.seq = event.seq;
+            self.last_seq = event.seq;
             if event.added {
-                self.note(event.prefix, now);
+                self.record(event.prefix, now);
             } else {
-                self.until.remove(&event.prefix);
+                self.expiry.remove(&event.prefix);
             }
         }
     }
 
-    /// Notes that a request with this prefix was sent there.
-    pub fn note(&mut self, prefix: u64, now: Millis) {
-        if self.until.len() >= MAX_ENTRIES && !self.until.contains_key(&prefix) {
+    /// Records that a prefix is expected to be cached, as after a request with it was sent.
+    pub fn record(&mut self, prefix: u64, now: Millis) {
+        if self.expiry.len() >= MAX_ENTRIES && !self.expiry.contains_key(&prefix) {
             self.evict(now);
         }
-        self.until.insert(prefix, now + TRUSTED);
+        self.expiry.insert(prefix, now + HINT_TTL);
     }
 
-    /// Whether the prefix is believed to be cached.
-    pub fn has(&self, prefix: u64, now: Millis) -> bool {
-        self.until.get(&prefix).is_some_and(|until| *until > now)
+    /// Returns whether the prefix is expected to be cached.
+    pub fn is_cached(&self, prefix: u64, now: Millis) -> bool {
+        self.expiry.get(&prefix).is_some_and(|expiry| *expiry > now)
     }
 
     fn shorten(&mut self, limit: Millis) {
-        for until in self.until.values_mut() {
-            *until = (*until).min(limit);
+        for expiry in self.expiry.values_mut() {
+            *expiry = (*expiry).min(limit);
         }
     }
 
     fn evict(&mut self, now: Millis) {
-        self.until.retain(|_, until| *until > now);
-        if self.until.len() < MAX_ENTRIES {
+        self.expiry.retain(|_, expiry| *expiry > now);
+        if self.expiry.len() < MAX_ENTRIES {
             return;
         }
-        let oldest = self.until.iter().min_by_key(|(p, until)| (**until, **p));
+        let oldest = self.expiry.iter().min_by_key(|(p, expiry)| (**expiry, **p));
         if let Some(prefix) = oldest.map(|(p, _)| *p) {
-            self.until.remove(&prefix);
+            self.expiry.remove(&prefix);
         }
     }
 }
--- a/crates/thistlesill-policy/src/router.rs
+++ b/crates/thistlesill-policy/src/router.rs
@@ -1,8 +1,7 @@
-//! The router's decisions: one step per event, from a caller's request to
-//! its final answer.
+//! Routing decisions: one step per event, from a caller's request to its final answer.
 //!
-//! The core knows nothing of bodies: the daemon around it keeps these and
-//! does the sending that the core asks for.
+//! The core holds no response bodies and does no I/O: the daemon around it keeps the bodies and
+//! carries out the sends that the core asks for.
 
 mod core;
 mod dispatch;
@@ -23,32 +22,34 @@
 };
 
 pub use self::core::{RouterCore, Status};
-pub use self::request::GroupUse;
+pub use self::request::GroupUsage;
 use crate::pick::Rule;
 use crate::serving::GroupKey;
 
-/// What a router is started with.
+/// Configuration of a [`RouterCore`], fixed for its lifetime.
 #[derive(Debug, Clone)]
 pub struct RouterOptions {
-    /// Its name.
+    /// Name of this router among the daemons.
     pub name: NodeId,
-    /// Its region.
+    /// Region whose settings apply.
     pub region: RegionId,
-    /// Its hall.
+    /// Hall that the router runs in; groups in the same hall are preferred.
     pub hall: HallId,
-    /// Requests that may wait at a time.
+    /// Maximum number of requests in the queue.
     pub waiting: usize,
-    /// How long it accepts requests after its health check fails.
+    /// How long requests are still accepted after the health check starts to fail, so that the load
+    /// balancer can notice.
     pub balancer: Millis,
-    /// The longest wait for streams when it stops.
+    /// Maximum time to wait for requests under way when the router stops, after the balancer's
+    /// time.
     pub stop: Millis,
-    /// Seed of its random source.
+    /// Seed of the random source for picks and backoff.
     pub seed: u64,
-    /// How groups are picked.
+    /// Rule by which groups are picked.
     pub rule: Rule,
 }
 
-/// What a request asks for.
+/// Model or service that a request is addressed to.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Wanted {
     /// A completion by a model.
@@ -57,274 +58,276 @@
     Service(ServiceName),
 }
 
-/// Where a broken answer is to be taken up again.
+/// Position at which an interrupted stream resumes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResumePoint {
-    /// The group that answers.
+    /// Group that was generating the answer.
     pub key: GroupKey,
-    /// The next piece wanted.
+    /// Offset of the next piece that the caller needs.
     pub offset: u32,
 }
 
-/// A request as it arrives.
+/// A request as received from a caller.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Arrival {
-    /// The request; for a resumed one, its first id.
+    /// Id of the request; a resumed request keeps its original id.
     pub request: RequestId,
-    /// Who asks.
+    /// Customer that sent the request.
     pub customer: CustomerId,
-    /// What for.
+    /// Requested model or service.
     pub wanted: Wanted,
-    /// Hash of the prompt's beginning.
+    /// Hash of the beginning of the prompt, for prefix cache hits; `None` without a prompt.
     pub prefix: Option<u64>,
-    /// The caller's own deadline, from now.
+    /// Time limit set by the caller, counted from arrival; the settings cap it.
     pub deadline: Option<Millis>,
-    /// The caller's own priority; it can only lower the branch's.
+    /// Priority set by the caller, where lower goes first; it cannot go ahead of the priority in
+    /// the settings.
     pub priority: Option<u8>,
-    /// Whether method or header say that the request may be repeated.
+    /// Whether the request may run more than once, as far as its method or a header says so.
     pub repeatable: Option<bool>,
-    /// The idempotency key.
+    /// Idempotency key.
     pub key: Option<String>,
     /// SHA-256 of the body.
     pub body: String,
-    /// Where to resume.
+    /// Where to resume; `None` for a new request.
     pub resume: Option<ResumePoint>,
 }
 
-/// What became of an attempt.
+/// Progress or outcome of an attempt, as reported by the daemon.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AttemptEvent {
-    /// Nothing of the request reached the target.
+    /// No byte of the request reached the target.
     Unsent,
-    /// The target says that it did not run the request and why not here.
+    /// The target did not run the request; another group may take it.
     Refused,
-    /// The target says that the request is malformed; it did not run.
+    /// The target rejected the request as malformed without running it.
     Denied,
-    /// The target knows nothing of the stream to resume.
+    /// The target has no state of the stream to resume.
     Forgotten,
     /// A piece of a streamed answer.
     Piece {
-        /// The request it names.
+        /// Request id that the piece carries.
         request: RequestId,
-        /// The group it names.
+        /// Group that the piece carries.
         key: GroupKey,
-        /// Its place from 0.
+        /// Offset of the piece in the answer, from 0.
         offset: u32,
-        /// Its text.
+        /// Generated text.
         text: Arc<str>,
     },
-    /// A streamed answer is whole.
+    /// End of a streamed answer.
     End {
-        /// The request it names.
+        /// Request id that the end marker carries.
         request: RequestId,
-        /// The group it names.
+        /// Group that the end marker carries.
         key: GroupKey,
-        /// How many pieces there are.
+        /// Total number of pieces of the answer.
         count: u32,
-        /// Why the model stopped.
+        /// Finish reason given by the model.
         reason: Arc<str>,
     },
-    /// A plain answer, whole.
+    /// A complete answer that was not streamed.
     Whole {
-        /// HTTP status.
+        /// HTTP status of the answer.
         status: u16,
     },
-    /// The connection was lost after sending began.
+    /// The connection was lost after sending began, so the request may have run.
     Broken,
-    /// The answer could not be understood.
+    /// The target's answer could not be parsed.
     Garbage,
 }
 
-/// What a router learns.
+/// Input of [`RouterCore::step`].
 #[derive(Debug, Clone, PartialEq)]
 pub enum RouterEvent {
     /// A request arrived.
     Arrive(Box<Arrival>),
-    /// Something became of an attempt.
+    /// An attempt made progress or ended.
     Attempt {
-        /// The request.
+        /// Request that the attempt belongs to.
         request: RequestId,
-        /// Which attempt.
+        /// Number of the attempt, from 1.
         attempt: u32,
-        /// What.
+        /// What happened.
         what: AttemptEvent,
     },
-    /// The caller went away.
+    /// The caller disconnected.
     CallerGone(RequestId),
-    /// A watcher's beat.
+    /// A watcher's heartbeat was received.
     Beat {
-        /// The watcher.
+        /// Sending watcher.
         from: NodeId,
-        /// The beat.
+        /// Heartbeat with the watcher's changed sightings.
         beat: Heartbeat,
-        /// Our wall clock less the sender's, in milliseconds.
+        /// Local wall clock minus the sender's, in milliseconds.
         lag: i64,
     },
-    /// A part of a watcher's view.
+    /// Part of a watcher's full view was received.
     Digest {
-        /// The watcher.
+        /// Sending watcher.
         from: NodeId,
-        /// The part.
+        /// Part of the view.
         part: Digest,
-        /// Our wall clock less the sender's, in milliseconds.
+        /// Local wall clock minus the sender's, in milliseconds.
         lag: i64,
     },
-    /// Another router's usage.
+    /// Another router's usage was received.
     Usage {
-        /// The router.
+        /// Sending router.
         from: NodeId,
-        /// Its usage.
+        /// Requests that each customer runs there.
         usage: Usage,
     },
-    /// What another router knows of requests that end their groups.
+    /// Another router's losses and verdicts on requests that crash their groups were received.
     Fatal(Fatal),
-    /// A revision of the settings was read.
+    /// A revision of the settings was read; older revisions are ignored.
     Settings(Arc<Tree>),
-    /// A transaction ended.
+    /// A transaction completed.
     TxnDone {
-        /// Its number.
+        /// Number from [`RouterAction::SendTxn`].
         flight: u64,
-        /// How.
+        /// Result of the transaction.
         result: TxnResult,
     },
-    /// Rows were read, or not.
+    /// A read of rows completed or failed.
     RowsRead {
-        /// The read's number.
+        /// Number from [`RouterAction::ReadRows`].
         flight: u64,
-        /// The rows, if the read succeeded.
+        /// The rows; `None` if the read failed.
         rows: Option<Rows>,
     },
-    /// The daemon is told to stop.
+    /// The daemon was asked to stop.
     Stop,
-    /// Time has passed.
+    /// Periodic timer.
     Tick,
 }
 
-/// How an attempt is sent.
+/// How much of an answer an attempt asks for.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Mode {
-    /// From the beginning.
+    /// The whole answer.
     Fresh,
-    /// Take up the stream at this piece, on the group that runs it.
+    /// The rest of a stream, from the group that is still running the request.
     Resume {
-        /// The next piece wanted.
+        /// Offset of the next piece that the caller needs.
         offset: u32,
     },
-    /// Go on from the prompt and what was delivered, on another group.
+    /// The rest of an answer, generated by a group that runs the same model, from the prompt and
+    /// the text delivered so far.
     Continue {
-        /// The next piece wanted.
+        /// Offset of the next piece that the caller needs.
         offset: u32,
-        /// What was delivered.
+        /// Text delivered so far.
         text: String,
     },
 }
 
-/// An attempt to send.
+/// An attempt that the daemon is to send.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Dispatch {
-    /// The request.
+    /// Id of the request.
     pub request: RequestId,
-    /// Counts from 1.
+    /// Number of the attempt, from 1.
     pub attempt: u32,
-    /// The group.
+    /// Group that gets the attempt.
     pub key: GroupKey,
-    /// Where to.
+    /// Address of the group's leader or of the service.
     pub address: SocketAddr,
-    /// What for.
+    /// Requested model or service.
     pub wanted: Wanted,
-    /// The adapter to use.
+    /// Adapter to apply to the model, from the customer's settings.
     pub adapter: Option<Adapter>,
     /// Priority for the engine; lower goes first.
     pub priority: u8,
     /// Time left until the deadline.
     pub left: Millis,
-    /// How.
+    /// How much of the answer to ask for.
     pub mode: Mode,
 }
 
-/// A caller's whole answer.
+/// The final answer to a caller.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Ending {
-    /// A streamed answer ended; all pieces were delivered.
+    /// A streamed answer ended, and all its pieces were delivered.
     Streamed {
-        /// The text of all pieces.
+        /// Text of all pieces.
         text: String,
-        /// How many pieces.
+        /// Number of pieces.
         count: u32,
-        /// Why the model stopped.
+        /// Finish reason given by the model.
         reason: Arc<str>,
-        /// The group that ended it.
+        /// Group that sent the end.
         key: GroupKey,
     },
-    /// The plain answer that the daemon holds is to be passed on.
+    /// The daemon passes on the plain answer that it holds.
     Whole,
-    /// The recorded answer of an earlier request with the same key.
+    /// The recorded answer of an earlier request with the same idempotency key.
     Recorded(Outcome),
 }
 
-/// What a router is to do.
+/// Output of [`RouterCore::step`], carried out by the daemon.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RouterAction {
     /// Send an attempt.
     Send(Box<Dispatch>),
     /// Cancel an attempt at its target.
     Cancel {
-        /// The request.
+        /// Request that the attempt belongs to.
         request: RequestId,
-        /// Which attempt.
+        /// Number of the attempt.
         attempt: u32,
     },
     /// Pass a piece on to the caller.
     Deliver {
-        /// The request.
+        /// Request that the piece answers.
         request: RequestId,
-        /// The group that made it.
+        /// Group that generated the piece.
         key: GroupKey,
-        /// Its place.
+        /// Offset of the piece in the answer.
         offset: u32,
-        /// Its text.
+        /// Generated text.
         text: Arc<str>,
     },
-    /// Give the caller the rest of its answer.
+    /// Complete the caller's answer.
     Finish {
-        /// The request.
+        /// Request that is complete.
         request: RequestId,
-        /// The answer.
+        /// Final part of the answer.
         ending: Box<Ending>,
     },
-    /// Give the caller an error.
+    /// Answer the caller with an error.
     Fail {
-        /// The request.
+        /// Request that failed.
         request: RequestId,
-        /// The kind.
+        /// Kind of the error.
         kind: ErrorKind,
-        /// When to come back, if better known than from the table.
+        /// Delay before the caller should retry; `None` for the default of the error kind.
         after: Option<Millis>,
     },
     /// Send a transaction to the table.
     SendTxn {
-        /// Its number.
+        /// Number to return in [`RouterEvent::TxnDone`].
         flight: u64,
-        /// The transaction.
+        /// Transaction to send.
         txn: Txn,
     },
     /// Read rows of the table.
     ReadRows {
-        /// The read's number.
+        /// Number to return in [`RouterEvent::RowsRead`].
         flight: u64,
-        /// Exact keys.
+        /// Exact keys of the rows.
         keys: Vec<RowKey>,
     },
     /// Ask a watcher for its full view.
     AskDigest(NodeId),
-    /// Tell the other routers what this one uses.
+    /// Send the usage of this router to the other routers.
     TellUsage(Usage),
-    /// Tell the other routers of requests that end their groups.
+    /// Send losses and verdicts on requests that crash their groups to the other routers.
     TellFatal(Fatal),
-    /// Tell the peers which settings are in force here.
+    /// Publish the settings in force, and send their revision to all peers.
     TellHead(u64),
-    /// Note an event on the time line.
+    /// Record an event on the time line.
     Note(TimelineEvent),
-    /// The daemon may exit.
+    /// Stopping is complete; the daemon may exit.
     Exit,
 }
--- a/crates/thistlesill-policy/src/router/core.rs
+++ b/crates/thistlesill-policy/src/router/core.rs
@@ -1,4 +1,4 @@
-//! The router's state and its step.
+//! State of a router and its step function.
 
 mod admission;
 mod attempts;
@@ -21,7 +21,7 @@
 use thistlesill_core::{ErrorKind, Millis, Model, RequestId};
 
 use super::request::Request;
-use super::{GroupUse, RouterAction, RouterEvent, RouterOptions};
+use super::{GroupUsage, RouterAction, RouterEvent, RouterOptions};
 use crate::budget::RetryBudget;
 use crate::charts::Charts;
 use crate::claim::ClaimBook;
@@ -32,52 +32,52 @@
 use crate::serving::{GroupKey, Roster};
 use crate::share::FairQueue;
 
-/// Presence window while no branch sets one.
-const PRESENCE: Millis = Millis::new(4_000);
-/// Requests that a group may run while no branch says.
-const SLOTS: u32 = 16;
-/// Between two derivations of the roster while no sighting changes; they only
-/// extend how long its servers count.
-const DERIVE_GAP: Millis = Millis::new(250);
-/// Between two messages about usage.
-const USAGE_GAP: Millis = Millis::new(1_000);
-/// Between two messages about the settings' head, beside the one that is sent
-/// at once when a revision comes into force.
-const HEAD_GAP: Millis = Millis::new(2_000);
-/// Between two tellings of all verdicts on requests that end their groups, for routers that
-/// missed some or started since.
-const VERDICTS_GAP: Millis = Millis::new(1_000);
-/// Verdicts told at once; 30 bytes each.
-const MAX_VERDICTS: usize = 100;
-/// How long a watcher that is silent is remembered.
-const FORGET: Millis = Millis::new(60_000);
-/// How long a request waits for a whole group before it is told that there
-/// is none: about as long as presence takes to follow a planned change.
-const PATIENCE: Millis = Millis::new(3_000);
-/// A wait that is no wait: the time between two looks at the queue.
-const HARDLY: Millis = Millis::new(100);
-/// Weight of a new observation of how long an answer takes.
-const SERVICE_LEARNING: f64 = 0.05;
-/// Silence of a stream after which it is taken for broken.
-const STREAM_SILENCE: Millis = Millis::new(8_000);
+/// Presence window when the settings have none.
+const DEFAULT_PRESENCE_WINDOW: Millis = Millis::new(4_000);
+/// Concurrent requests per group when the settings have none.
+const DEFAULT_SLOTS: u32 = 16;
+/// Interval at which the roster is derived when no sighting has changed; this only extends how long
+/// its servers count.
+const ROSTER_INTERVAL: Millis = Millis::new(250);
+/// Interval between usage messages.
+const USAGE_INTERVAL: Millis = Millis::new(1_000);
+/// Interval between messages about the settings in force. One more is sent at once when a revision
+/// comes into force.
+const HEAD_INTERVAL: Millis = Millis::new(2_000);
+/// Interval between messages with all verdicts on requests that crash their groups, for routers
+/// that missed some or started since.
+const VERDICTS_INTERVAL: Millis = Millis::new(1_000);
+/// Maximum number of verdicts sent at once; each takes 30 bytes.
+const MAX_VERDICTS_PER_MESSAGE: usize = 100;
+/// How long a silent watcher is remembered.
+const WATCHER_RETENTION: Millis = Millis::new(60_000);
+/// How long a request waits for a complete group before it fails with `NoGroup`: about as long as
+/// presence takes to follow a planned change.
+const NO_GROUP_TIMEOUT: Millis = Millis::new(3_000);
+/// Waits up to this time do not count: the interval between two checks of the queue.
+const MIN_QUEUE_WAIT: Millis = Millis::new(100);
+/// Weight of a new observation in the moving average of the answer time.
+const SERVICE_TIME_WEIGHT: f64 = 0.05;
+/// Silence after which a stream is treated as broken.
+const STREAM_IDLE_TIMEOUT: Millis = Millis::new(8_000);
 
-/// Figures of a router for operators.
+/// Counters and state of a router, for operators.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// Revision of the settings in force; 0 for none.
+    /// Revision of the settings in force; 0 if there are none.
     pub revision: u64,
-    /// Requests under way.
+    /// Requests without a final answer.
     pub under_way: usize,
-    /// Requests waiting.
+    /// Requests in the queue.
     pub waiting: usize,
     /// Groups and services that may take requests.
     pub servers: usize,
-    /// Groups seen that are not whole.
+    /// Groups that some members report but that are not complete.
     pub incomplete: usize,
-    /// Pieces dropped since they belonged to another request, group, epoch
-    /// or attempt, or came twice.
+    /// Attempt events dropped because they belonged to another request, group, epoch or attempt, or
+    /// arrived twice.
     pub dropped: u64,
-    /// Attempts beyond a request's first.
+    /// Attempts after a request's first.
     pub retries: u64,
     /// First attempts.
     pub firsts: u64,
@@ -89,11 +89,11 @@
     pub refused_steps: u64,
     /// Whether the router takes new requests.
     pub ready: bool,
-    /// Use of each group.
-    pub groups: Vec<GroupUse>,
+    /// Load of each group.
+    pub groups: Vec<GroupUsage>,
 }
 
-/// The router's state.
+/// State machine of a router: takes events, returns actions.
 #[derive(Debug)]
 pub struct RouterCore {
     options: RouterOptions,
@@ -101,35 +101,34 @@
     rng: StdRng,
     tree: Option<Arc<Tree>>,
     models: BTreeSet<Model>,
-    window: Millis,
+    presence_window: Millis,
     view: View,
     roster: Roster,
-    derived: Option<Millis>,
-    /// The view's generation that the roster was derived from.
-    derived_from: u64,
+    derived_at: Option<Millis>,
+    /// Generation of `view` that the roster was derived from.
+    derived_generation: u64,
     loads: BTreeMap<GroupKey, GroupLoad>,
     requests: BTreeMap<RequestId, Request>,
     queue: FairQueue,
     claims: ClaimBook,
     budget: RetryBudget,
-    /// Requests that end their groups.
+    /// Requests suspected of crashing their groups.
     quarantine: Quarantine<GroupKey>,
-    /// What the other routers are to be told of these.
-    untold: Fatal,
-    told_verdicts: Millis,
+    /// Losses and verdicts to send to the other routers.
+    unsent_fatal: Fatal,
+    last_verdicts_sent: Millis,
     drain: Drain,
-    told_usage: Millis,
-    told_head: Millis,
-    turn: u64,
-    /// Time from the sending of a request to the end of its answer, in
-    /// milliseconds, averaged.
-    service: f64,
+    last_usage_sent: Millis,
+    last_head_sent: Millis,
+    pick_count: u64,
+    /// Moving average of the time from sending a request to the end of its answer, in milliseconds.
+    mean_service_ms: f64,
     status: Status,
     out: Vec<RouterAction>,
 }
 
 impl RouterCore {
-    /// A router that knows nothing yet.
+    /// Creates a router without settings or known groups.
     ///
     /// # Errors
     ///
@@ -140,24 +139,24 @@
             rng: StdRng::seed_from_u64(options.seed),
             tree: None,
             models: BTreeSet::new(),
-            window: PRESENCE,
+            presence_window: DEFAULT_PRESENCE_WINDOW,
             view: View::new(),
             roster: Roster::default(),
-            derived: None,
-            derived_from: 0,
+            derived_at: None,
+            derived_generation: 0,
             loads: BTreeMap::new(),
             requests: BTreeMap::new(),
             queue: FairQueue::new(options.waiting),
             claims: ClaimBook::new(charts.claim.clone(), options.name.clone()),
             budget: RetryBudget::default(),
             quarantine: Quarantine::default(),
-            untold: Fatal::default(),
-            told_verdicts: Millis::ZERO,
+            unsent_fatal: Fatal::default(),
+            last_verdicts_sent: Millis::ZERO,
             drain: Drain::new(charts.drain.clone(), options.balancer, options.stop),
-            told_usage: Millis::ZERO,
-            told_head: Millis::ZERO,
-            turn: 0,
-            service: 0.0,
+            last_usage_sent: Millis::ZERO,
+            last_head_sent: Millis::ZERO,
+            pick_count: 0,
+            mean_service_ms: 0.0,
             status: Status::default(),
             out: Vec::new(),
             charts,
@@ -165,30 +164,30 @@
         })
     }
 
-    /// Whether the router has settings and is not stopping.
+    /// Returns whether the router has settings and is not stopping.
     pub fn is_ready(&self) -> bool {
         self.tree.is_some() && self.drain.healthy()
     }
 
-    /// Whether a request has no final answer yet.
+    /// Returns whether a request has no final answer yet.
     pub fn is_under_way(&self, request: RequestId) -> bool {
         self.requests.contains_key(&request)
     }
 
-    /// The settings in force.
+    /// Returns the settings in force.
     pub const fn tree(&self) -> Option<&Arc<Tree>> {
         self.tree.as_ref()
     }
 
-    /// The groups seen.
+    /// Returns the groups and services seen, as last derived.
     pub const fn roster(&self) -> &Roster {
         &self.roster
     }
 
-    /// Figures for operators.
+    /// Returns counters and state for operators.
     pub fn status(&self) -> Status {
         let (claims, transactions) = self.claims.counts();
-        let groups = self.loads.iter().map(|(key, load)| GroupUse {
+        let groups = self.loads.iter().map(|(key, load)| GroupUsage {
             group: key.group.clone(),
             running: load.running(),
             occupancy: load.occupancy(),
@@ -208,21 +207,21 @@
         }
     }
 
-    /// Takes in an event at `now` and returns what to do.
+    /// Processes an event at time `now` and returns the actions to carry out.
     pub fn step(&mut self, event: RouterEvent, now: Millis) -> Vec<RouterAction> {
         match event {
-            RouterEvent::Arrive(arrival) => self.arrive(*arrival, now),
+            RouterEvent::Arrive(arrival) => self.handle_arrival(*arrival, now),
             RouterEvent::Attempt {
                 request,
                 attempt,
                 what,
-            } => self.attempt(request, attempt, what, now),
-            RouterEvent::CallerGone(request) => self.caller_gone(request, now),
-            RouterEvent::Beat { from, beat, lag } => self.beat(&from, &beat, lag, now),
-            RouterEvent::Digest { from, part, lag } => self.digest(&from, &part, lag, now),
-            RouterEvent::Usage { from, usage } => self.queue.heard(&from, usage, now),
-            RouterEvent::Fatal(told) => self.hear_fatal(&told, now),
-            RouterEvent::Settings(tree) => self.settings(tree),
+            } => self.handle_attempt(request, attempt, what, now),
+            RouterEvent::CallerGone(request) => self.handle_caller_gone(request, now),
+            RouterEvent::Beat { from, beat, lag } => self.handle_beat(&from, &beat, lag, now),
+            RouterEvent::Digest { from, part, lag } => self.handle_digest(&from, &part, lag, now),
+            RouterEvent::Usage { from, usage } => self.queue.receive_usage(&from, usage, now),
+            RouterEvent::Fatal(received) => self.receive_fatal(&received, now),
+            RouterEvent::Settings(tree) => self.handle_settings(tree),
             RouterEvent::TxnDone { flight, result } => {
                 let steps = self.claims.done(flight, &result);
                 self.claim_steps(steps, now);
@@ -237,7 +236,7 @@
             }
             RouterEvent::Tick => self.tick(now),
         }
-        self.tell_fatal();
+        self.send_fatal();
         std::mem::take(&mut self.out)
     }
 
@@ -246,12 +245,16 @@
     }
 }
 
-enum Lateness {
-    Fail(ErrorKind),
-    Silent,
-    TooLate,
+/// How a request has timed out.
+enum Timeout {
+    /// It waited too long in the queue.
+    Waiting(ErrorKind),
+    /// Its stream has been silent for too long.
+    StreamIdle,
+    /// It was sent, and its deadline passed before any piece arrived.
+    Unanswered,
 }
 
-fn request_exposed(requests: &BTreeMap<RequestId, Request>, id: RequestId) -> bool {
-    requests.get(&id).is_some_and(|r| r.exposed)
+fn request_may_have_run(requests: &BTreeMap<RequestId, Request>, id: RequestId) -> bool {
+    requests.get(&id).is_some_and(|r| r.may_have_run)
 }
--- a/crates/thistlesill-policy/src/router/core/admission.rs
+++ b/crates/thistlesill-policy/src/router/core/admission.rs
@@ -1,4 +1,4 @@
-//! From a request that arrives to one that waits to be sent.
+//! Admission of requests, from arrival to the queue.
 
 use thistlesill_core::settings::{Context, Tree, Values};
 use thistlesill_core::timeline::TimelineEvent;
@@ -8,39 +8,39 @@
 use crate::charts::RequestEvent;
 use crate::claim::{ClaimAsk, ClaimStep, Verdict};
 use crate::pick::GroupLoad;
-use crate::router::request::{Request, Terms};
+use crate::router::request::{Request, RequestPolicy};
 use crate::router::{Arrival, Ending, RouterAction, Wanted, dispatch};
 use crate::share::Admission;
 
 impl RouterCore {
-    pub(super) fn arrive(&mut self, arrival: Arrival, now: Millis) {
+    pub(super) fn handle_arrival(&mut self, arrival: Arrival, now: Millis) {
         let id = arrival.request;
         self.note(TimelineEvent::Arrived {
             request: id,
             customer: arrival.customer.clone(),
         });
         let Some(tree) = self.tree.clone().filter(|_| self.drain.accepts()) else {
-            self.fail_now(id, ErrorKind::NotReady, None);
+            self.emit_failure(id, ErrorKind::NotReady, None);
             return;
         };
         if self.requests.contains_key(&id) {
-            self.fail_now(id, ErrorKind::BadRequest, None);
+            self.emit_failure(id, ErrorKind::BadRequest, None);
             return;
         }
         let values = self.customer_values(&tree, &arrival.customer);
-        if let Some(kind) = self.objection(&arrival, &values) {
-            self.fail_now(id, kind, None);
+        if let Some(kind) = self.validation_error(&arrival, &values) {
+            self.emit_failure(id, kind, None);
             return;
         }
-        // Without this a prompt that ends its groups ended 15 in 75 s, asked again every
-        // three seconds at two routers; 4 with it.
+        // A prompt that crashes its groups, sent again every 3 s to two routers, ended 15 of them
+        // in 75 s without this check, and 4 with it.
         if let Some(left) = self.withheld(&arrival, now) {
-            self.fail_now(id, ErrorKind::Withheld, Some(left));
+            self.emit_failure(id, ErrorKind::Withheld, Some(left));
             return;
         }
-        let terms = Terms::new(&arrival, values, now);
+        let policy = RequestPolicy::new(&arrival, values, now);
         let start = self.charts.request.start();
-        let request = Request::new(arrival, terms, start, now);
+        let request = Request::new(arrival, policy, start, now);
         if request.arrival.key.is_some() && request.arrival.resume.is_none() {
             self.claim(request, now);
         } else {
@@ -56,8 +56,8 @@
         tree.resolve(&context)
     }
 
-    /// What is wrong with a request before anything else is looked at.
-    pub(super) fn objection(&self, arrival: &Arrival, values: &Values) -> Option<ErrorKind> {
+    /// Checks a request before any other step; returns the error if it is invalid.
+    pub(super) fn validation_error(&self, arrival: &Arrival, values: &Values) -> Option<ErrorKind> {
         if let Wanted::Model(model) = &arrival.wanted {
             let known = self.models.contains(model) || dispatch::is_served(model, &self.roster);
             if !known {
@@ -95,16 +95,16 @@
                 ClaimStep::Read { flight, keys } => {
                     self.out.push(RouterAction::ReadRows { flight, keys });
                 }
-                ClaimStep::Decide { request, verdict } => self.decided(request, verdict, now),
+                ClaimStep::Decide { request, verdict } => self.claim_decided(request, verdict, now),
             }
         }
     }
 
-    pub(super) fn decided(&mut self, id: RequestId, verdict: Verdict, now: Millis) {
+    pub(super) fn claim_decided(&mut self, id: RequestId, verdict: Verdict, now: Millis) {
         match verdict {
             Verdict::Granted => {
                 let Some(request) = self.requests.get_mut(&id) else {
-                    // Its caller went away while the claim was under way.
+                    // The caller disconnected while the claim was pending.
                     self.claims.release(id);
                     return;
                 };
@@ -126,7 +126,7 @@
             return;
         };
         let stepped = request.apply(&self.charts.request, RequestEvent::Queue);
-        let entry = request.waiting();
+        let entry = request.queue_entry();
         if !self.count_refusal(stepped.is_ok()) {
             return;
         }
@@ -138,29 +138,29 @@
         match self.queue.push(entry) {
             Admission::Admitted => {}
             Admission::Displaced(other) => {
-                let after = Some(self.come_back());
+                let after = Some(self.retry_after());
                 self.fail(other, ErrorKind::OverShare, after, now);
             }
             Admission::OverShare => {
-                let after = Some(self.come_back());
+                let after = Some(self.retry_after());
                 self.fail(id, ErrorKind::OverShare, after, now);
             }
             Admission::Full => {
-                let after = Some(self.come_back());
+                let after = Some(self.retry_after());
                 self.fail(id, ErrorKind::Overloaded, after, now);
             }
         }
-        self.pump(now);
+        self.send_waiting(now);
     }
 
-    /// How long an answer takes from its sending to its end, on average.
+    /// Returns the average time from sending a request to the end of its answer.
     pub(super) const fn service_time(&self) -> Millis {
-        Millis::new(self.service as u64)
+        Millis::new(self.mean_service_ms as u64)
     }
 
-    /// When a caller that is turned away should come back: about as long as
-    /// the queue takes to empty, by the requests that end now.
-    pub(super) fn come_back(&self) -> Millis {
+    /// Returns when a rejected caller should retry: the approximate time to empty the queue, at 500
+    /// ms per round of all slots and 10 s at most.
+    pub(super) fn retry_after(&self) -> Millis {
         let room: u32 = self.loads.values().map(GroupLoad::limit).sum();
         let rounds = self.queue.len() as u64 / u64::from(room.max(1)) + 1;
         Millis::new((rounds * 500).min(10_000))
--- a/crates/thistlesill-policy/src/router/core/endings.rs
+++ b/crates/thistlesill-policy/src/router/core/endings.rs
@@ -1,4 +1,4 @@
-//! The final answer of a request: one, and at once.
+//! Final answers. Every request gets exactly one, as soon as it is known.
 
 use thistlesill_core::row::Outcome;
 use thistlesill_core::timeline::TimelineEvent;
@@ -18,7 +18,7 @@
             return;
         }
         if !matches!(ending, Ending::Recorded(_)) {
-            self.ran_well(&request.arrival, now);
+            self.record_success(&request.arrival, now);
         }
         let tokens = match &ending {
             Ending::Streamed { count, .. } => *count,
@@ -33,11 +33,11 @@
             request: id,
             ending,
         });
-        self.pump(now);
+        self.send_waiting(now);
     }
 
-    /// Records the answer of a claimed request; the daemon calls this with
-    /// the answer as the caller got it.
+    /// Records the answer of a claimed request under its key. The daemon calls this with the answer
+    /// as the caller got it.
     pub fn record(&mut self, id: RequestId, outcome: Outcome) {
         self.claims.finish(id, outcome);
     }
@@ -54,20 +54,20 @@
             return;
         };
         self.queue.remove(&request.arrival.customer, id);
-        self.is_over(&request.arrival, now);
+        self.record_unsuccessful(&request.arrival, now);
         let stepped = request.apply(&self.charts.request, RequestEvent::Fail);
         if !self.count_refusal(stepped.is_ok()) {
             return;
         }
-        if request.claimed && request.exposed {
+        if request.claimed && request.may_have_run {
             self.claims.abandon(id);
         } else if request.claimed {
             self.claims.release(id);
         }
-        self.fail_now(id, kind, after);
+        self.emit_failure(id, kind, after);
     }
 
-    pub(super) fn fail_now(&mut self, id: RequestId, kind: ErrorKind, after: Option<Millis>) {
+    pub(super) fn emit_failure(&mut self, id: RequestId, kind: ErrorKind, after: Option<Millis>) {
         self.note(TimelineEvent::Failed { request: id, kind });
         self.out.push(RouterAction::Fail {
             request: id,
@@ -76,17 +76,17 @@
         });
     }
 
-    pub(super) fn caller_gone(&mut self, id: RequestId, now: Millis) {
+    pub(super) fn handle_caller_gone(&mut self, id: RequestId, now: Millis) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
         let sent = matches!(request.state, RequestState::Sent | RequestState::Streaming);
-        let (attempt, claimed, state) = (request.tries, request.claimed, request.state);
-        let exposed = sent || request.exposed;
+        let (attempt, claimed, state) = (request.attempt_count, request.claimed, request.state);
+        let may_have_run = sent || request.may_have_run;
         self.note(TimelineEvent::CallerGone { request: id });
         if sent && claimed {
-            // It runs once only, so it runs to its end, and its outcome is
-            // recorded for the caller that asks again.
+            // The request must not run twice, so it runs to its end, and its outcome is recorded
+            // for a caller that asks again.
             return;
         }
         if state == RequestState::Claiming {
@@ -99,21 +99,21 @@
             });
         }
         if let Some(request) = self.requests.get_mut(&id) {
-            request.exposed = exposed;
+            request.may_have_run = may_have_run;
         }
-        self.drop_silently(id, now);
-        self.pump(now);
+        self.discard(id, now);
+        self.send_waiting(now);
     }
 
-    /// Ends a request whose caller is gone: there is nobody to answer.
-    pub(super) fn drop_silently(&mut self, id: RequestId, now: Millis) {
+    /// Ends a request without an answer, because its caller is gone.
+    pub(super) fn discard(&mut self, id: RequestId, now: Millis) {
         self.end_attempt(id, now);
         let Some(request) = self.requests.remove(&id) else {
             return;
         };
         self.queue.remove(&request.arrival.customer, id);
-        self.is_over(&request.arrival, now);
-        if request.claimed && request.exposed {
+        self.record_unsuccessful(&request.arrival, now);
+        if request.claimed && request.may_have_run {
             self.claims.abandon(id);
         } else if request.claimed {
             self.claims.release(id);
--- a/crates/thistlesill-policy/src/router/core/fatal.rs
+++ b/crates/thistlesill-policy/src/router/core/fatal.rs
@@ -1,18 +1,18 @@
-//! Requests that end the groups which run them.
+//! Requests that crash the groups that run them.
 //!
-//! A router tells all others under which requests it lost a group, what ran to a good end
-//! although it was suspected, and what is decided; see [`crate::quarantine`].
+//! Routers share under which requests they lost a group, which suspected requests completed, and
+//! which verdicts were reached; see [`crate::quarantine`].
 
 use thistlesill_core::message::Fatal;
 use thistlesill_core::{Fingerprint, Millis, RequestId, Verdict};
 
-use super::{MAX_VERDICTS, RouterCore, VERDICTS_GAP};
+use super::{MAX_VERDICTS_PER_MESSAGE, RouterCore, VERDICTS_INTERVAL};
 use crate::quarantine::Standing;
 use crate::router::{Arrival, RouterAction, Wanted};
 use crate::serving::GroupKey;
 
-/// What tells whether the same request came before; nothing does for a plain service, whose
-/// calls differ by what the core does not know.
+/// Returns the fingerprint by which a repeated request is recognised; `None` for a plain service,
+/// whose calls differ by parts that the core does not see.
 fn fingerprint(arrival: &Arrival) -> Option<Fingerprint> {
     let Wanted::Model(model) = &arrival.wanted else {
         return None;
@@ -25,32 +25,33 @@
 }
 
 impl RouterCore {
-    /// The fingerprint of a request, if any request is suspected; usually none is, and none
-    /// has to be computed.
-    fn suspected(&self, arrival: &Arrival) -> Option<Fingerprint> {
+    /// Returns the fingerprint of a request if any request is suspected. Usually none is, and no
+    /// fingerprint has to be computed.
+    fn suspect_fingerprint(&self, arrival: &Arrival) -> Option<Fingerprint> {
         if self.quarantine.is_empty() {
             return None;
         }
         fingerprint(arrival)
     }
 
-    /// For how long a request is withheld, if it is; one that may be tried is tried then.
+    /// Returns for how long a request is still withheld; `None` if it may run. A request that is
+    /// due for a trial starts it here.
     pub(super) fn withheld(&mut self, arrival: &Arrival, now: Millis) -> Option<Millis> {
-        let print = self.suspected(arrival)?;
+        let print = self.suspect_fingerprint(arrival)?;
         match self.quarantine.standing(print, now) {
             Standing::Free => None,
             Standing::Withheld(left) | Standing::Tried(left) => Some(left),
             Standing::Trial => {
                 let verdict = self.quarantine.begin_trial(print, now);
-                self.untold.verdicts.extend(verdict);
+                self.unsent_fatal.verdicts.extend(verdict);
                 None
             }
         }
     }
 
-    /// Notes that a group was lost while it had a request; returns whether the request may
-    /// still be sent elsewhere.
-    pub(super) fn lost_under(&mut self, id: RequestId, key: &GroupKey, now: Millis) -> bool {
+    /// Records that a group was lost while it ran a request; returns whether the request may still
+    /// be sent to another group.
+    pub(super) fn record_loss(&mut self, id: RequestId, key: &GroupKey, now: Millis) -> bool {
         let Some(request) = self.requests.get(&id) else {
             return false;
         };
@@ -59,56 +60,56 @@
         };
         let verdict = self.quarantine.note_lost(print, key, now);
         let lost = (key.group.clone(), key.epoch);
-        self.untold.lost.push((print, lost));
-        self.untold.verdicts.extend(verdict);
+        self.unsent_fatal.lost.push((print, lost));
+        self.unsent_fatal.verdicts.extend(verdict);
         self.quarantine.standing(print, now) == Standing::Free
     }
 
-    /// Notes that a request ran to a good end.
-    pub(super) fn ran_well(&mut self, arrival: &Arrival, now: Millis) {
-        if let Some(print) = self.suspected(arrival) {
+    /// Records that a request completed successfully.
+    pub(super) fn record_success(&mut self, arrival: &Arrival, now: Millis) {
+        if let Some(print) = self.suspect_fingerprint(arrival) {
             let verdict = self.quarantine.note_good(print, now);
-            self.untold.verdicts.extend(verdict);
+            self.unsent_fatal.verdicts.extend(verdict);
         }
     }
 
-    /// Notes that a request is over; what was a trial without an outcome may be tried again.
-    pub(super) fn is_over(&mut self, arrival: &Arrival, now: Millis) {
-        if let Some(print) = self.suspected(arrival) {
+    /// Records that a request ended without success; a trial without an outcome may be repeated.
+    pub(super) fn record_unsuccessful(&mut self, arrival: &Arrival, now: Millis) {
+        if let Some(print) = self.suspect_fingerprint(arrival) {
             let verdict = self.quarantine.end_trial(print, now);
-            self.untold.verdicts.extend(verdict);
+            self.unsent_fatal.verdicts.extend(verdict);
         }
     }
 
-    pub(super) fn hear_fatal(&mut self, told: &Fatal, now: Millis) {
-        for (print, (group, epoch)) in &told.lost {
+    pub(super) fn receive_fatal(&mut self, fatal: &Fatal, now: Millis) {
+        for (print, (group, epoch)) in &fatal.lost {
             let key = GroupKey {
                 group: group.clone(),
                 epoch: *epoch,
             };
             self.quarantine.note_lost(*print, &key, now);
         }
-        for verdict in &told.verdicts {
+        for verdict in &fatal.verdicts {
             self.quarantine.receive(*verdict, now);
         }
     }
 
-    /// Has all verdicts told again now and then, and forgets what is out of time.
-    pub(super) fn tell_verdicts(&mut self, now: Millis) {
-        if now - self.told_verdicts < VERDICTS_GAP {
+    /// Adds all verdicts to the next message once per interval, and removes expired cases.
+    pub(super) fn collect_verdicts(&mut self, now: Millis) {
+        if now - self.last_verdicts_sent < VERDICTS_INTERVAL {
             return;
         }
-        self.told_verdicts = now;
+        self.last_verdicts_sent = now;
         self.quarantine.retain(now);
         let mut all: Vec<Verdict> = self.quarantine.verdicts(now);
-        all.truncate(MAX_VERDICTS);
-        self.untold.verdicts.extend(all);
+        all.truncate(MAX_VERDICTS_PER_MESSAGE);
+        self.unsent_fatal.verdicts.extend(all);
     }
 
-    pub(super) fn tell_fatal(&mut self) {
-        if !self.untold.is_empty() {
-            let told = std::mem::take(&mut self.untold);
-            self.out.push(RouterAction::TellFatal(told));
+    pub(super) fn send_fatal(&mut self) {
+        if !self.unsent_fatal.is_empty() {
+            let fatal = std::mem::take(&mut self.unsent_fatal);
+            self.out.push(RouterAction::TellFatal(fatal));
         }
     }
 }
--- a/crates/thistlesill-policy/src/router/core/presence.rs
+++ b/crates/thistlesill-policy/src/router/core/presence.rs
@@ -1,4 +1,4 @@
-//! What the router knows of settings and groups.
+//! Settings, and the roster of groups derived from the watchers' heartbeats.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -8,14 +8,14 @@
 use thistlesill_core::timeline::TimelineEvent;
 use thistlesill_core::{Millis, NodeId};
 
-use super::{PRESENCE, RouterCore, SLOTS};
+use super::{DEFAULT_PRESENCE_WINDOW, DEFAULT_SLOTS, RouterCore};
 use crate::pick::GroupLoad;
 use crate::presence::Heard;
 use crate::router::RouterAction;
 use crate::serving::{GroupKey, Server, derive};
 
 impl RouterCore {
-    pub(super) fn settings(&mut self, tree: Arc<Tree>) {
+    pub(super) fn handle_settings(&mut self, tree: Arc<Tree>) {
         if self
             .tree
             .as_ref()
@@ -27,7 +27,9 @@
             .with_region(self.options.region.clone())
             .with_hall(self.options.hall.clone());
         let values = tree.resolve(&context);
-        self.window = values.presence_ms.map_or(PRESENCE, Millis::new);
+        self.presence_window = values
+            .presence_ms
+            .map_or(DEFAULT_PRESENCE_WINDOW, Millis::new);
         let models = tree.branches().values().filter_map(|b| b.model.clone());
         self.models = models.collect();
         let revision = tree.revision();
@@ -37,7 +39,7 @@
         self.out.push(RouterAction::TellHead(revision));
     }
 
-    pub(super) fn beat(&mut self, from: &NodeId, beat: &Heartbeat, lag: i64, now: Millis) {
+    pub(super) fn handle_beat(&mut self, from: &NodeId, beat: &Heartbeat, lag: i64, now: Millis) {
         match self.view.beat(from, beat, lag, now) {
             Heard::Stale => return,
             Heard::AskDigest => self.out.push(RouterAction::AskDigest(from.clone())),
@@ -50,25 +52,25 @@
                 continue;
             };
             if let Some(load) = self.loads.get_mut(&server.key) {
-                load.report(gauge.pressure, age, now);
-                load.learn_prefixes(&gauge.cache, now);
+                load.apply_report(gauge.pressure, age, now);
+                load.apply_cache_events(&gauge.cache, now);
             }
         }
         if !beat.changed.is_empty() {
-            self.derive(now);
+            self.update_roster(now);
         }
-        self.pump(now);
+        self.send_waiting(now);
     }
 
-    pub(super) fn digest(&mut self, from: &NodeId, part: &Digest, lag: i64, now: Millis) {
+    pub(super) fn handle_digest(&mut self, from: &NodeId, part: &Digest, lag: i64, now: Millis) {
         if self.view.digest(from, part, lag, now) == Heard::Fine {
-            self.derive(now);
-            self.pump(now);
+            self.update_roster(now);
+            self.send_waiting(now);
         }
     }
 
-    pub(super) fn derive(&mut self, now: Millis) {
-        let roster = derive(&self.view, now, self.window);
+    pub(super) fn update_roster(&mut self, now: Millis) {
+        let roster = derive(&self.view, now, self.presence_window);
         let old: BTreeSet<GroupKey> = self.roster.servers.iter().map(|s| s.key.clone()).collect();
         let new: BTreeSet<GroupKey> = roster.servers.iter().map(|s| s.key.clone()).collect();
         for key in new.difference(&old) {
@@ -92,14 +94,16 @@
         self.loads
             .retain(|key, load| new.contains(key) || load.running() > 0);
         self.roster = roster;
-        self.derived = Some(now);
-        self.derived_from = self.view.generation();
+        self.derived_at = Some(now);
+        self.derived_generation = self.view.generation();
     }
 
-    /// Requests that a server may run at a time, by the settings of its
-    /// place.
+    /// Returns the number of requests that a server may run at a time, from the settings of its
+    /// hall, domain and generation.
     pub(super) fn slots_of(&self, server: &Server) -> u32 {
-        let Some(tree) = &self.tree else { return SLOTS };
+        let Some(tree) = &self.tree else {
+            return DEFAULT_SLOTS;
+        };
         let place = Context {
             region: Some(self.options.region.clone()),
             hall: Some(server.hall.clone()),
@@ -107,7 +111,7 @@
             generation: Some(server.generation.clone()),
             customer: None,
         };
-        tree.resolve(&place).slots.unwrap_or(SLOTS)
+        tree.resolve(&place).slots.unwrap_or(DEFAULT_SLOTS)
     }
 
     pub(super) fn refresh_slots(&mut self) {
--- a/crates/thistlesill-policy/src/router/dispatch.rs
+++ b/crates/thistlesill-policy/src/router/dispatch.rs
@@ -1,4 +1,4 @@
-//! Which server can take a request, and how its next attempt is made.
+//! Selection of a server for a request, and construction of the next attempt.
 
 use std::collections::BTreeMap;
 
@@ -10,71 +10,71 @@
 use crate::pick::{Candidate, GroupLoad, PickContext, Rule, pick};
 use crate::serving::{GroupKey, Roster, Runs, Server};
 
-/// What came of looking for a server.
+/// Result of selecting a server.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) enum Match {
-    /// The position of the server in the roster.
+pub(super) enum Selection {
+    /// Index of the server in the roster.
     Found(usize),
-    /// All that could take it are at their limit.
+    /// All eligible servers are at their limit.
     Busy,
-    /// None could take it.
-    Nothing,
-    /// It would be answered too late.
+    /// No server is eligible.
+    NoServer,
+    /// The answer would miss the deadline.
     TooLate,
 }
 
-/// What a pick needs beside the request.
-pub(super) struct Choice<'a> {
+/// Inputs of the selection other than the request.
+pub(super) struct Selector<'a> {
     pub(super) roster: &'a Roster,
     pub(super) loads: &'a BTreeMap<GroupKey, GroupLoad>,
     pub(super) hall: &'a HallId,
     pub(super) rule: Rule,
-    pub(super) turn: u64,
+    pub(super) pick_count: u64,
     pub(super) now: Millis,
 }
 
-impl Choice<'_> {
-    /// Finds a server for a request.
-    pub(super) fn find(&self, request: &Request, rng: &mut StdRng) -> Match {
-        let able: Vec<usize> = (0..self.roster.servers.len())
-            .filter(|i| self.is_able(request, &self.roster.servers[*i]))
+impl Selector<'_> {
+    /// Selects a server for a request.
+    pub(super) fn select(&self, request: &Request, rng: &mut StdRng) -> Selection {
+        let eligible: Vec<usize> = (0..self.roster.servers.len())
+            .filter(|i| self.is_eligible(request, &self.roster.servers[*i]))
             .collect();
-        let open: Vec<Candidate<'_>> = able.iter().filter_map(|i| self.candidate(*i)).collect();
+        let open: Vec<Candidate<'_>> = eligible.iter().filter_map(|i| self.candidate(*i)).collect();
         let context = PickContext {
             rule: self.rule,
             prefix: request.arrival.prefix,
             now: self.now,
-            turn: self.turn,
+            pick_count: self.pick_count,
         };
-        match pick(&self.prefer_sound(&open), &context, rng) {
-            Some(index) => Match::Found(index),
-            None if able.is_empty() => Match::Nothing,
-            None => Match::Busy,
+        match pick(&self.avoid_suspects(&open), &context, rng) {
+            Some(index) => Selection::Found(index),
+            None if eligible.is_empty() => Selection::NoServer,
+            None => Selection::Busy,
         }
     }
 
-    /// Whether any server could take a request if it had room.
-    pub(super) fn has_able(&self, request: &Request) -> bool {
+    /// Returns whether any server is eligible for a request, whether or not it has a free slot.
+    pub(super) fn has_eligible(&self, request: &Request) -> bool {
         let mut servers = self.roster.servers.iter();
-        servers.any(|s| self.is_able(request, s))
+        servers.any(|s| self.is_eligible(request, s))
     }
 
-    fn is_able(&self, request: &Request, server: &Server) -> bool {
+    fn is_eligible(&self, request: &Request, server: &Server) -> bool {
         if server.until <= self.now {
             return false;
         }
         if request.pinned.as_ref().is_some_and(|p| *p != server.key) {
             return false;
         }
-        // The second half of an answer must come from what wrote the first.
+        // The rest of an answer must come from the same model and adapters as its beginning.
         let continues = matches!(request.mode, Mode::Continue { .. });
-        if continues && request.runs.as_ref() != Some(&server.runs) {
+        if continues && request.last_runs.as_ref() != Some(&server.runs) {
             return false;
         }
         match (&request.arrival.wanted, &server.runs) {
             (Wanted::Service(name), Runs::Service(s)) => name == s,
             (Wanted::Model(model), Runs::Model(load)) => {
-                let adapter = request.terms.values.adapter.as_ref();
+                let adapter = request.policy.values.adapter.as_ref();
                 load.model == *model && adapter.is_none_or(|a| load.adapters.contains(a))
             }
             _ => false,
@@ -87,46 +87,46 @@
         load.has_room().then_some(Candidate {
             index,
             load,
-            near: server.hall == *self.hall,
+            same_hall: server.hall == *self.hall,
         })
     }
 
-    /// Passes over servers that just failed, unless there are no others.
-    fn prefer_sound<'a>(&self, open: &[Candidate<'a>]) -> Vec<Candidate<'a>> {
-        let sound = open.iter().filter(|c| !c.load.is_suspect(self.now));
-        let sound: Vec<Candidate<'a>> = sound.copied().collect();
-        if sound.is_empty() {
+    /// Excludes servers that failed recently, unless there are no others.
+    fn avoid_suspects<'a>(&self, open: &[Candidate<'a>]) -> Vec<Candidate<'a>> {
+        let healthy = open.iter().filter(|c| !c.load.is_suspect(self.now));
+        let healthy: Vec<Candidate<'a>> = healthy.copied().collect();
+        if healthy.is_empty() {
             open.to_vec()
         } else {
-            sound
+            healthy
         }
     }
 }
 
-/// The adapter that goes with a dispatch.
+/// Returns the adapter for a request; plain services have none.
 fn adapter(request: &Request) -> Option<Adapter> {
     match request.arrival.wanted {
-        Wanted::Model(_) => request.terms.values.adapter.clone(),
+        Wanted::Model(_) => request.policy.values.adapter.clone(),
         Wanted::Service(_) => None,
     }
 }
 
-/// The next attempt of a request at a server.
-pub(super) fn dispatch(request: &Request, server: &Server, now: Millis) -> Dispatch {
+/// Builds the next attempt of a request at a server.
+pub(super) fn build(request: &Request, server: &Server, now: Millis) -> Dispatch {
     Dispatch {
         request: request.id(),
-        attempt: request.tries + 1,
+        attempt: request.attempt_count + 1,
         key: server.key.clone(),
         address: server.address,
         wanted: request.arrival.wanted.clone(),
         adapter: adapter(request),
-        priority: request.terms.priority,
-        left: request.terms.deadline - now,
+        priority: request.policy.priority,
+        left: request.policy.deadline - now,
         mode: request.mode.clone(),
     }
 }
 
-/// How the answer of a lost stream can go on elsewhere.
+/// Returns how another group can continue the answer of a lost stream.
 pub(super) fn continuation(request: &Request) -> Mode {
     let offset = request.assembly.next();
     if offset == 0 {
@@ -138,7 +138,7 @@
     }
 }
 
-/// Whether any branch or server knows a model.
+/// Returns whether any server runs a model.
 pub(super) fn is_served(model: &Model, roster: &Roster) -> bool {
     let runs = |s: &Server| matches!(&s.runs, Runs::Model(load) if load.model == *model);
     roster.servers.iter().any(runs)
--- a/crates/thistlesill-policy/src/router/request.rs
+++ b/crates/thistlesill-policy/src/router/request.rs
@@ -1,4 +1,4 @@
-//! What a router keeps of one request.
+//! State that the router keeps for each request.
 
 use std::sync::Arc;
 
@@ -11,31 +11,34 @@
 use super::{Arrival, Mode};
 use crate::charts::{RequestEvent, RequestState};
 use crate::serving::{GroupKey, Runs};
-use crate::share::Waiting;
+use crate::share::QueueEntry;
 
-/// Defaults for values that no branch sets.
-const DEADLINE: Millis = Millis::new(30_000);
-const FIRST_TOKEN: Millis = Millis::new(1_200);
-const ATTEMPTS: u32 = 3;
-const PRIORITY: u8 = 8;
+/// Time limit of a request when the settings have none.
+const DEFAULT_DEADLINE: Millis = Millis::new(30_000);
+/// Target time to the first token when the settings have none.
+const DEFAULT_FIRST_TOKEN: Millis = Millis::new(1_200);
+/// Maximum number of attempts when the settings have none.
+const DEFAULT_ATTEMPTS: u32 = 3;
+/// Priority when the settings have none; lower goes first.
+const DEFAULT_PRIORITY: u8 = 8;
 
 /// An attempt under way.
 #[derive(Debug, Clone)]
 pub(super) struct Attempt {
     pub(super) key: GroupKey,
-    pub(super) sent: Millis,
-    pub(super) heard: Millis,
-    /// Requests that were at the group when it was sent.
+    pub(super) sent_at: Millis,
+    pub(super) last_event: Millis,
+    /// Requests at the group when this one was sent.
     pub(super) ahead: u32,
-    /// Whether a piece arrived in this attempt.
-    pub(super) began: bool,
-    /// How many pieces the whole answer has, once known, and why it ended.
+    /// Whether a piece has arrived in this attempt.
+    pub(super) streaming: bool,
+    /// Total number of pieces and the finish reason, once announced.
     pub(super) end: Option<(u32, Arc<str>)>,
 }
 
-/// Limits and marks of a request, taken from the settings once.
+/// Limits and priority of a request, from the settings at its arrival.
 #[derive(Debug, Clone)]
-pub(super) struct Terms {
+pub(super) struct RequestPolicy {
     pub(super) deadline: Millis,
     pub(super) first_token: Millis,
     pub(super) attempts: u32,
@@ -46,18 +49,20 @@
     pub(super) values: Values,
 }
 
-impl Terms {
-    /// The terms of a request under the values of its customer.
+impl RequestPolicy {
+    /// Combines the settings of the customer with the headers of the request.
     pub(super) fn new(arrival: &Arrival, values: Values, now: Millis) -> Self {
-        let branch_limit = values.deadline_ms.map_or(DEADLINE, Millis::new);
+        let branch_limit = values.deadline_ms.map_or(DEFAULT_DEADLINE, Millis::new);
         let limit = arrival
             .deadline
             .map_or(branch_limit, |d| d.min(branch_limit));
-        let floor = values.priority.unwrap_or(PRIORITY);
+        let floor = values.priority.unwrap_or(DEFAULT_PRIORITY);
         Self {
             deadline: now + limit,
-            first_token: values.first_token_ms.map_or(FIRST_TOKEN, Millis::new),
-            attempts: values.attempts.unwrap_or(ATTEMPTS),
+            first_token: values
+                .first_token_ms
+                .map_or(DEFAULT_FIRST_TOKEN, Millis::new),
+            attempts: values.attempts.unwrap_or(DEFAULT_ATTEMPTS),
             retry_percent: values.retry_percent.unwrap_or(0),
             repeatable: values.repeatable.unwrap_or(true)
                 && arrival.repeatable != Some(false)
@@ -69,65 +74,69 @@
     }
 }
 
-/// One request.
+/// A request without a final answer.
 #[derive(Debug, Clone)]
 pub(super) struct Request {
     pub(super) arrival: Arrival,
     pub(super) state: RequestState,
-    pub(super) terms: Terms,
-    pub(super) arrived: Millis,
-    pub(super) tries: u32,
+    pub(super) policy: RequestPolicy,
+    pub(super) arrived_at: Millis,
+    pub(super) attempt_count: u32,
     pub(super) attempt: Option<Attempt>,
-    /// The group of the last attempt that ended.
-    pub(super) attempt_key: Option<GroupKey>,
+    /// Group of the last attempt that ended.
+    pub(super) last_group: Option<GroupKey>,
     /// What the server of the last attempt ran.
-    pub(super) runs: Option<Runs>,
+    pub(super) last_runs: Option<Runs>,
     pub(super) mode: Mode,
     /// The only group that may get the next attempt.
     pub(super) pinned: Option<GroupKey>,
-    /// Not to be sent before this.
+    /// Time before which the request is not sent.
     pub(super) not_before: Millis,
     pub(super) assembly: Assembly,
-    /// Whether a claim is held for it.
+    /// Whether the router holds a claim on the request's idempotency key.
     pub(super) claimed: bool,
-    /// Whether any byte may have reached a target that did not say that it
-    /// refused.
-    pub(super) exposed: bool,
+    /// Whether a byte may have reached a target that did not confirm that it refused the request.
+    pub(super) may_have_run: bool,
 }
 
 impl Request {
-    /// A request that has just arrived.
-    pub(super) fn new(arrival: Arrival, terms: Terms, start: RequestState, now: Millis) -> Self {
+    /// Creates a request that has just arrived.
+    pub(super) fn new(
+        arrival: Arrival,
+        policy: RequestPolicy,
+        start: RequestState,
+        now: Millis,
+    ) -> Self {
         let resume = arrival.resume.clone();
         let offset = resume.as_ref().map_or(0, |r| r.offset);
         Self {
             state: start,
-            terms,
-            arrived: now,
-            tries: 0,
+            policy,
+            arrived_at: now,
+            attempt_count: 0,
             attempt: None,
-            attempt_key: None,
-            runs: None,
+            last_group: None,
+            last_runs: None,
             mode: if resume.is_some() {
                 Mode::Resume { offset }
             } else {
                 Mode::Fresh
             },
-            exposed: resume.is_some(),
+            may_have_run: resume.is_some(),
             pinned: resume.map(|r| r.key),
             not_before: Millis::ZERO,
-            assembly: Assembly::from(offset),
+            assembly: Assembly::starting_at(offset),
             claimed: false,
             arrival,
         }
     }
 
-    /// The request's id.
+    /// Returns the id of the request.
     pub(super) const fn id(&self) -> RequestId {
         self.arrival.request
     }
 
-    /// Steps the request's chart.
+    /// Applies an event to the request's state chart.
     pub(super) fn apply(
         &mut self,
         chart: &Chart<RequestState, RequestEvent>,
@@ -137,27 +146,27 @@
         Ok(())
     }
 
-    /// The request's entry for the queue.
-    pub(super) fn waiting(&self) -> Waiting {
-        Waiting {
+    /// Returns the request's queue entry.
+    pub(super) fn queue_entry(&self) -> QueueEntry {
+        QueueEntry {
             request: self.id(),
             customer: self.arrival.customer.clone(),
-            share: self.terms.share,
-            priority: self.terms.priority,
-            deadline: self.terms.deadline,
+            share: self.policy.share,
+            priority: self.policy.priority,
+            deadline: self.policy.deadline,
         }
     }
 }
 
-/// A group as a router uses it, for `thistlesill groups`.
+/// Load of a group as seen by one router, for `thistlesill groups`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct GroupUse {
-    /// The group.
+pub struct GroupUsage {
+    /// Name of the group.
     pub group: GroupId,
-    /// Requests of this router there.
+    /// Requests that this router runs there.
     pub running: u32,
-    /// Requests believed to be there, of all routers.
+    /// Estimate of the requests of all routers there.
     pub occupancy: u32,
-    /// The limit in force.
+    /// Adaptive limit in force.
     pub limit: u32,
 }
--- a/crates/thistlesill-policy/src/router/stream.rs
+++ b/crates/thistlesill-policy/src/router/stream.rs
@@ -1,75 +1,75 @@
-//! Putting the pieces of a streamed answer in order.
+//! Reassembly of the pieces of a streamed answer.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Pieces held back at most while an earlier one is missing.
-const MAX_HELD: usize = 256;
+/// Maximum number of pieces buffered while an earlier one is missing.
+const MAX_BUFFERED: usize = 256;
 
-/// What to do with a piece.
+/// Result of accepting a piece.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) enum Placed {
-    /// Deliver these, in order.
+pub(super) enum PieceResult {
+    /// These pieces can be delivered, in order.
     Ready(Vec<(u32, Arc<str>)>),
-    /// Wait for an earlier one.
-    Held,
-    /// It was delivered before.
-    Doubled,
-    /// Too many are held back: an earlier one is lost.
+    /// The piece is buffered until an earlier one arrives.
+    Buffered,
+    /// The piece was delivered before.
+    Duplicate,
+    /// The buffer is full: an earlier piece is lost.
     Gap,
 }
 
-/// The pieces of one answer.
+/// Pieces of one answer, with those that arrived out of order.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Assembly {
     next: u32,
-    held: BTreeMap<u32, Arc<str>>,
+    buffered: BTreeMap<u32, Arc<str>>,
     text: String,
 }
 
 impl Assembly {
-    /// An answer of which the caller has all pieces before `next`.
-    pub(super) fn from(next: u32) -> Self {
+    /// Creates an answer whose pieces before `next` were already delivered.
+    pub(super) fn starting_at(next: u32) -> Self {
         Self {
             next,
             ..Self::default()
         }
     }
 
-    /// The next piece wanted.
+    /// Returns the offset of the next missing piece.
     pub(super) const fn next(&self) -> u32 {
         self.next
     }
 
-    /// The text delivered.
+    /// Returns the text delivered since creation.
     pub(super) fn text(&self) -> &str {
         &self.text
     }
 
-    /// Takes in a piece.
-    pub(super) fn place(&mut self, offset: u32, text: Arc<str>) -> Placed {
+    /// Accepts a piece and returns what can be delivered.
+    pub(super) fn accept(&mut self, offset: u32, text: Arc<str>) -> PieceResult {
         if offset < self.next {
-            return Placed::Doubled;
+            return PieceResult::Duplicate;
         }
-        self.held.insert(offset, text);
+        self.buffered.insert(offset, text);
         if offset > self.next {
-            return if self.held.len() > MAX_HELD {
-                Placed::Gap
+            return if self.buffered.len() > MAX_BUFFERED {
+                PieceResult::Gap
             } else {
-                Placed::Held
+                PieceResult::Buffered
             };
         }
         let mut ready = Vec::new();
-        while let Some(text) = self.held.remove(&self.next) {
+        while let Some(text) = self.buffered.remove(&self.next) {
             self.text.push_str(&text);
             ready.push((self.next, text));
             self.next += 1;
         }
-        Placed::Ready(ready)
+        PieceResult::Ready(ready)
     }
 
-    /// Drops what is held back: a new attempt begins at the next piece.
+    /// Clears the buffer: a new attempt begins at the next missing piece.
     pub(super) fn restart(&mut self) {
-        self.held.clear();
+        self.buffered.clear();
     }
 }
--- a/crates/thistlesill-policy/src/share.rs
+++ b/crates/thistlesill-policy/src/share.rs
@@ -1,109 +1,108 @@
-//! The queue of a router, shared fairly among customers.
+//! Request queue with fair shares among customers.
 //!
-//! The next request comes from the customer that uses the least of its
-//! share, counted over all routers; within a customer the lower priority
-//! number goes first, then the earlier deadline. Nothing is reserved, so a
-//! share that is not used is lent to the others.
+//! The next request comes from the customer with the lowest use of its share, counted over all
+//! routers; within a customer, lower priority numbers go first, then earlier deadlines. Nothing is
+//! reserved, so an unused share is available to the others.
 
 use std::collections::BTreeMap;
 
 use thistlesill_core::message::{CustomerUsage, Usage};
 use thistlesill_core::{CustomerId, Millis, NodeId, RequestId};
 
-/// How long another router's usage counts without news.
-const USAGE_AGE: Millis = Millis::new(3_000);
+/// How long the usage reported by another router counts.
+const USAGE_TTL: Millis = Millis::new(3_000);
 
-/// Weight of a new observation of the time between two sends.
-const GAP_LEARNING: f64 = 0.1;
+/// Weight of a new observation in the moving average of the time between two sends.
+const GAP_WEIGHT: f64 = 0.1;
 
-/// A request that wants to wait.
+/// A request to be queued.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Waiting {
-    /// The request.
+pub struct QueueEntry {
+    /// Id of the request.
     pub request: RequestId,
-    /// Its customer.
+    /// Customer whose share it uses.
     pub customer: CustomerId,
-    /// The customer's share.
+    /// Weight of the customer; 0 counts as 1.
     pub share: u32,
     /// Lower goes first.
     pub priority: u8,
-    /// When it is too late.
+    /// Time after which an answer is of no use; among equal priorities the earliest goes first.
     pub deadline: Millis,
 }
 
-/// Whether a request may wait.
+/// Result of adding a request to the queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// It waits.
+    /// The request is queued.
     Admitted,
-    /// It waits; this one of another customer, which was over its share,
-    /// does not any more.
+    /// The request is queued, and this request of another customer, which was over its share, is
+    /// removed.
     Displaced(RequestId),
-    /// The queue is full and the customer is over its share.
+    /// The queue is full, and the customer has the longest queue for its share.
     OverShare,
-    /// The queue is full, and nobody is more over their share.
+    /// The queue is full, and no other customer is further over its share.
     Full,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct Place {
+struct QueueKey {
     priority: u8,
     deadline: Millis,
-    turn: u64,
+    seq: u64,
 }
 
 #[derive(Debug, Clone, Default)]
-struct Line {
+struct CustomerQueue {
     share: u32,
-    waiting: BTreeMap<Place, RequestId>,
+    waiting: BTreeMap<QueueKey, RequestId>,
     running: u32,
-    /// Time between two sends while others waited, in milliseconds, averaged.
-    gap: f64,
+    /// Moving average of the time between two sends while others waited, in milliseconds.
+    mean_gap_ms: f64,
     last_send: Option<Millis>,
 }
 
 #[derive(Debug, Clone)]
-struct Remote {
-    heard: Millis,
+struct RemoteUsage {
+    received_at: Millis,
     usage: Usage,
 }
 
-/// Requests waiting at one router.
+/// Queue of one router, with the running requests of each customer.
 #[derive(Debug, Clone)]
 pub struct FairQueue {
     limit: usize,
-    turn: u64,
+    seq: u64,
     count: usize,
-    lines: BTreeMap<CustomerId, Line>,
-    remotes: BTreeMap<NodeId, Remote>,
+    queues: BTreeMap<CustomerId, CustomerQueue>,
+    remotes: BTreeMap<NodeId, RemoteUsage>,
 }
 
 impl FairQueue {
-    /// A queue for at most `limit` requests.
+    /// Creates a queue for at most `limit` requests.
     pub const fn new(limit: usize) -> Self {
         Self {
             limit,
-            turn: 0,
+            seq: 0,
             count: 0,
-            lines: BTreeMap::new(),
+            queues: BTreeMap::new(),
             remotes: BTreeMap::new(),
         }
     }
 
-    /// How many requests wait.
+    /// Returns the number of requests in the queue.
     pub const fn len(&self) -> usize {
         self.count
     }
 
-    /// Whether none waits.
+    /// Returns whether the queue is empty.
     pub const fn is_empty(&self) -> bool {
         self.count == 0
     }
 
-    /// Lets a request wait, if there is room for its customer.
-    pub fn push(&mut self, entry: Waiting) -> Admission {
-        let line = self.lines.entry(entry.customer.clone()).or_default();
-        line.share = entry.share.max(1);
+    /// Adds a request if there is room for its customer.
+    pub fn push(&mut self, entry: QueueEntry) -> Admission {
+        let queue = self.queues.entry(entry.customer.clone()).or_default();
+        queue.share = entry.share.max(1);
         let admission = if self.count < self.limit {
             Admission::Admitted
         } else {
@@ -115,112 +114,114 @@
         admission
     }
 
-    /// Puts a request back that had its turn already; always succeeds.
-    pub fn push_back(&mut self, entry: Waiting) {
+    /// Returns a request to the queue for another attempt, even if the queue is full.
+    pub fn requeue(&mut self, entry: QueueEntry) {
         self.insert(entry);
     }
 
-    /// Customers with waiting requests, the one that uses the least of its
-    /// share first.
+    /// Returns the customers with queued requests, the lowest use of its share first.
     pub fn order(&self, now: Millis) -> Vec<CustomerId> {
-        let waiting = self.lines.iter().filter(|(_, l)| !l.waiting.is_empty());
+        let waiting = self.queues.iter().filter(|(_, q)| !q.waiting.is_empty());
         let mut order: Vec<(f64, &CustomerId)> = waiting
-            .map(|(customer, line)| (self.use_of(customer, line, now), customer))
+            .map(|(customer, queue)| (self.usage_ratio(customer, queue, now), customer))
             .collect();
         order.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(b.1)));
         order.into_iter().map(|(_, c)| c.clone()).collect()
     }
 
-    /// The requests of a customer in their order.
-    pub fn line(&self, customer: &CustomerId) -> impl Iterator<Item = RequestId> {
-        let line = self.lines.get(customer);
-        line.into_iter().flat_map(|l| l.waiting.values().copied())
+    /// Returns the queued requests of a customer in their order.
+    pub fn requests_of(&self, customer: &CustomerId) -> impl Iterator<Item = RequestId> {
+        let queue = self.queues.get(customer);
+        queue.into_iter().flat_map(|q| q.waiting.values().copied())
     }
 
-    /// Takes a request out.
+    /// Removes a request; returns whether it was queued.
     pub fn remove(&mut self, customer: &CustomerId, request: RequestId) -> bool {
-        let Some(line) = self.lines.get_mut(customer) else {
+        let Some(queue) = self.queues.get_mut(customer) else {
             return false;
         };
-        let before = line.waiting.len();
-        line.waiting.retain(|_, r| *r != request);
-        let removed = before - line.waiting.len();
+        let before = queue.waiting.len();
+        queue.waiting.retain(|_, r| *r != request);
+        let removed = before - queue.waiting.len();
         self.count -= removed;
         removed > 0
     }
 
-    /// Notes that a request was sent.
-    pub fn started(&mut self, customer: &CustomerId, now: Millis) {
-        let line = self.lines.entry(customer.clone()).or_default();
-        line.running += 1;
-        let busy = !line.waiting.is_empty();
-        if let Some(last) = line.last_send.filter(|_| busy) {
+    /// Records that a request was sent.
+    pub fn record_start(&mut self, customer: &CustomerId, now: Millis) {
+        let queue = self.queues.entry(customer.clone()).or_default();
+        queue.running += 1;
+        let busy = !queue.waiting.is_empty();
+        if let Some(last) = queue.last_send.filter(|_| busy) {
             let gap = (now - last).get() as f64;
-            line.gap += GAP_LEARNING * (gap - line.gap);
+            queue.mean_gap_ms += GAP_WEIGHT * (gap - queue.mean_gap_ms);
         }
-        line.last_send = busy.then_some(now);
+        queue.last_send = busy.then_some(now);
     }
 
-    /// How long a request of this customer that joins now will wait, by how
-    /// fast the customer's line has moved; nothing if no line has formed.
+    /// Returns how long a new request of this customer is expected to wait, from the rate at which
+    /// the customer's queue has moved; zero if it has no queue.
     pub fn expected_wait(&self, customer: &CustomerId) -> Millis {
-        let wait = |l: &Line| (l.waiting.len() as f64 * l.gap) as u64;
-        Millis::new(self.lines.get(customer).map_or(0, wait))
+        let wait = |q: &CustomerQueue| (q.waiting.len() as f64 * q.mean_gap_ms) as u64;
+        Millis::new(self.queues.get(customer).map_or(0, wait))
     }
 
-    /// Notes that a request that was sent has ended.
-    pub fn ended(&mut self, customer: &CustomerId) {
-        if let Some(line) = self.lines.get_mut(customer) {
-            line.running = line.running.saturating_sub(1);
+    /// Records that a request that was sent has ended.
+    pub fn record_end(&mut self, customer: &CustomerId) {
+        if let Some(queue) = self.queues.get_mut(customer) {
+            queue.running = queue.running.saturating_sub(1);
         }
     }
 
-    /// What this router uses, for the others.
+    /// Returns the running requests of this router by customer, to send to the other routers.
     pub fn usage(&self) -> Usage {
-        let busy = self.lines.iter().filter(|(_, l)| l.running > 0);
+        let busy = self.queues.iter().filter(|(_, q)| q.running > 0);
         Usage {
             customers: busy
-                .map(|(customer, line)| CustomerUsage {
+                .map(|(customer, queue)| CustomerUsage {
                     customer: customer.clone(),
-                    running: line.running,
+                    running: queue.running,
                 })
                 .collect(),
         }
     }
 
-    /// Takes in what another router uses.
-    pub fn heard(&mut self, from: &NodeId, usage: Usage, now: Millis) {
-        let remote = Remote { heard: now, usage };
+    /// Records the usage of another router.
+    pub fn receive_usage(&mut self, from: &NodeId, usage: Usage, now: Millis) {
+        let remote = RemoteUsage {
+            received_at: now,
+            usage,
+        };
         self.remotes.insert(from.clone(), remote);
-        self.remotes.retain(|_, r| now - r.heard < USAGE_AGE);
+        self.remotes.retain(|_, r| now - r.received_at < USAGE_TTL);
     }
 
-    fn insert(&mut self, entry: Waiting) {
-        self.turn += 1;
+    fn insert(&mut self, entry: QueueEntry) {
+        self.seq += 1;
         self.count += 1;
-        let place = Place {
+        let key = QueueKey {
             priority: entry.priority,
             deadline: entry.deadline,
-            turn: self.turn,
+            seq: self.seq,
         };
-        let line = self.lines.entry(entry.customer).or_default();
-        line.share = entry.share.max(1);
-        line.waiting.insert(place, entry.request);
+        let queue = self.queues.entry(entry.customer).or_default();
+        queue.share = entry.share.max(1);
+        queue.waiting.insert(key, entry.request);
     }
 
-    /// Makes room by sending away the last request of the customer with the
-    /// longest line for its share, if that is not `customer` itself.
+    /// Makes room by removing the last request of the customer with the longest queue for its
+    /// share, if that is not `customer` itself.
     fn displace(&mut self, customer: &CustomerId) -> Admission {
-        let length = |l: &Line| l.waiting.len() as f64 / f64::from(l.share.max(1));
-        let longest = self.lines.iter().max_by(|a, b| {
+        let length = |q: &CustomerQueue| q.waiting.len() as f64 / f64::from(q.share.max(1));
+        let longest = self.queues.iter().max_by(|a, b| {
             let order = length(a.1).total_cmp(&length(b.1));
             order.then(b.0.cmp(a.0))
         });
-        let Some((victim, worst)) = longest.map(|(c, l)| (c.clone(), length(l))) else {
+        let Some((victim, worst)) = longest.map(|(c, q)| (c.clone(), length(q))) else {
             return Admission::Full;
         };
-        let own = self.lines.get(customer).map_or(0.0, |l| {
-            (l.waiting.len() + 1) as f64 / f64::from(l.share.max(1))
+        let own = self.queues.get(customer).map_or(0.0, |q| {
+            (q.waiting.len() + 1) as f64 / f64::from(q.share.max(1))
         });
         if victim == *customer {
             return Admission::OverShare;
@@ -228,8 +229,8 @@
         if own > worst {
             return Admission::Full;
         }
-        let line = self.lines.get_mut(&victim);
-        match line.and_then(|l| l.waiting.pop_last()) {
+        let queue = self.queues.get_mut(&victim);
+        match queue.and_then(|q| q.waiting.pop_last()) {
             Some((_, request)) => {
                 self.count -= 1;
                 Admission::Displaced(request)
@@ -238,13 +239,16 @@
         }
     }
 
-    fn use_of(&self, customer: &CustomerId, line: &Line, now: Millis) -> f64 {
-        let fresh = self.remotes.values().filter(|r| now - r.heard < USAGE_AGE);
+    fn usage_ratio(&self, customer: &CustomerId, queue: &CustomerQueue, now: Millis) -> f64 {
+        let fresh = self
+            .remotes
+            .values()
+            .filter(|r| now - r.received_at < USAGE_TTL);
         let remote: u32 = fresh
             .flat_map(|r| &r.usage.customers)
             .filter(|u| u.customer == *customer)
             .map(|u| u.running)
             .sum();
-        f64::from(line.running + remote) / f64::from(line.share.max(1))
+        f64::from(queue.running + remote) / f64::from(queue.share.max(1))
     }
 }
--- a/crates/thistlesill-policy/tests/answers.rs
+++ b/crates/thistlesill-policy/tests/answers.rs
@@ -1,5 +1,5 @@
-//! Every caller gets the whole answer to its own request, once and in order,
-//! and an error never says "not run" of what may have run.
+//! Answers: each caller gets the complete answer to its own request, once and in order, and no
+//! error says "not run" of a request that may have run.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -43,7 +43,7 @@
     }
 }
 
-/// A router that sees two groups of one member each.
+/// Creates a router that sees two groups of one member each.
 fn router() -> RouterCore {
     let options = RouterOptions {
         name: "r0".into(),
@@ -97,7 +97,7 @@
     }
 }
 
-/// A request under way, and what came back so far.
+/// A request under way and the actions that it caused.
 struct Session {
     core: RouterCore,
     now: Millis,
@@ -144,7 +144,7 @@
         });
     }
 
-    /// Lets the back-off pass.
+    /// Lets the longest backoff pass.
     fn wait(&mut self) {
         self.now = self.now + Millis::new(1_100);
         self.step(RouterEvent::Tick);
@@ -316,7 +316,7 @@
     let mut session = Session::begin(false);
     session.attempt(1, AttemptEvent::Broken);
     session.wait();
-    // Asked for the rest, the group cannot be reached any more.
+    // The group is asked for the rest, but can no longer be reached.
     for attempt in 2..=3 {
         session.attempt(attempt, AttemptEvent::Unsent);
         session.wait();
--- a/crates/thistlesill-policy/tests/load.rs
+++ b/crates/thistlesill-policy/tests/load.rs
@@ -1,4 +1,4 @@
-//! Limits, shares, retries, drain and the choice of a group.
+//! Adaptive limits, fair shares, retries, drain and the picking of groups.
 
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -7,15 +7,15 @@
 use thistlesill_policy::budget::{RetryBudget, backoff};
 use thistlesill_policy::charts::{Charts, DrainState};
 use thistlesill_policy::drain::Drain;
-use thistlesill_policy::limit::Limit;
+use thistlesill_policy::limit::AdaptiveLimit;
 use thistlesill_policy::pick::{Candidate, GroupLoad, PickContext, Rule, pick};
 use thistlesill_policy::prefix::PrefixHints;
-use thistlesill_policy::share::{Admission, FairQueue, Waiting};
+use thistlesill_policy::share::{Admission, FairQueue, QueueEntry};
 
 const NOW: Millis = Millis::new(1_000_000);
 
-fn waiting(number: u128, customer: &str, share: u32) -> Waiting {
-    Waiting {
+fn entry(number: u128, customer: &str, share: u32) -> QueueEntry {
+    QueueEntry {
         request: RequestId::new(number),
         customer: customer.into(),
         share,
@@ -46,7 +46,7 @@
 
 #[test]
 fn limit_falls_when_late_and_recovers() {
-    let mut limit = Limit::new(20);
+    let mut limit = AdaptiveLimit::new(20);
     let wanted = Millis::new(100);
     for round in 0..10 {
         limit.observe(Millis::new(500), wanted, NOW + Millis::new(round * 600));
@@ -62,14 +62,14 @@
 #[test]
 fn shares_order_the_customers() {
     let mut queue = FairQueue::new(100);
-    queue.push(waiting(1, "small", 1));
-    queue.push(waiting(2, "large", 4));
-    queue.started(&"small".into(), NOW);
-    queue.started(&"large".into(), NOW);
-    // One each running: the large one uses less of its share.
+    queue.push(entry(1, "small", 1));
+    queue.push(entry(2, "large", 4));
+    queue.record_start(&"small".into(), NOW);
+    queue.record_start(&"large".into(), NOW);
+    // Each runs one request, so the large customer uses less of its share.
     assert_eq!(queue.order(NOW), vec!["large".into(), "small".into()]);
     for _ in 0..4 {
-        queue.started(&"large".into(), NOW);
+        queue.record_start(&"large".into(), NOW);
     }
     assert_eq!(queue.order(NOW), vec!["small".into(), "large".into()]);
 }
@@ -77,15 +77,15 @@
 #[test]
 fn use_at_other_routers_counts() {
     let mut queue = FairQueue::new(100);
-    queue.push(waiting(1, "a", 1));
-    queue.push(waiting(2, "b", 1));
-    queue.started(&"b".into(), NOW);
+    queue.push(entry(1, "a", 1));
+    queue.push(entry(2, "b", 1));
+    queue.record_start(&"b".into(), NOW);
     let mut other = FairQueue::new(100);
     for _ in 0..3 {
-        other.started(&"a".into(), NOW);
+        other.record_start(&"a".into(), NOW);
     }
     assert_eq!(queue.order(NOW)[0], "a".into());
-    queue.heard(&"r1".into(), other.usage(), NOW);
+    queue.receive_usage(&"r1".into(), other.usage(), NOW);
     assert_eq!(queue.order(NOW)[0], "b".into());
     let later = NOW + Millis::new(5_000);
     assert_eq!(queue.order(later)[0], "a".into(), "old news does not count");
@@ -95,10 +95,10 @@
 fn full_queue_turns_the_flood_away() {
     let mut queue = FairQueue::new(10);
     for n in 0..10 {
-        assert_eq!(queue.push(waiting(n, "flood", 1)), Admission::Admitted);
+        assert_eq!(queue.push(entry(n, "flood", 1)), Admission::Admitted);
     }
-    assert_eq!(queue.push(waiting(10, "flood", 1)), Admission::OverShare);
-    let admission = queue.push(waiting(11, "quiet", 1));
+    assert_eq!(queue.push(entry(10, "flood", 1)), Admission::OverShare);
+    let admission = queue.push(entry(11, "quiet", 1));
     assert_eq!(admission, Admission::Displaced(RequestId::new(9)));
     assert_eq!(queue.len(), 10);
 }
@@ -108,12 +108,12 @@
     let mut queue = FairQueue::new(1_000);
     assert_eq!(queue.expected_wait(&"a".into()), Millis::ZERO);
     for n in 0..300 {
-        queue.push(waiting(n, "a", 1));
+        queue.push(entry(n, "a", 1));
     }
-    // A send every 100 ms: 200 in front take about 20 s.
+    // One send every 100 ms: the 200 requests in front take about 20 s.
     for n in 0..100 {
         queue.remove(&"a".into(), RequestId::new(n));
-        queue.started(
+        queue.record_start(
             &"a".into(),
             NOW + Millis::new(u64::try_from(n).unwrap() * 100),
         );
@@ -125,15 +125,15 @@
 #[test]
 fn priority_then_deadline_within_a_customer() {
     let mut queue = FairQueue::new(10);
-    let mut urgent = waiting(1, "a", 1);
+    let mut urgent = entry(1, "a", 1);
     urgent.priority = 1;
-    let mut late = waiting(2, "a", 1);
+    let mut late = entry(2, "a", 1);
     late.deadline = NOW + Millis::new(9);
     queue.push(late);
-    queue.push(waiting(3, "a", 1));
+    queue.push(entry(3, "a", 1));
     queue.push(urgent);
-    let line: Vec<RequestId> = queue.line(&"a".into()).collect();
-    assert_eq!(line, [1, 3, 2].map(RequestId::new).to_vec());
+    let requests: Vec<RequestId> = queue.requests_of(&"a".into()).collect();
+    assert_eq!(requests, [1, 3, 2].map(RequestId::new).to_vec());
 }
 
 fn loaded(reported: u32, age: u64) -> GroupLoad {
@@ -142,7 +142,7 @@
         running: reported,
         ..Pressure::default()
     };
-    load.report(pressure, Millis::new(age), NOW);
+    load.apply_report(pressure, Millis::new(age), NOW);
     load
 }
 
@@ -150,10 +150,10 @@
 fn own_sends_since_the_report_count() {
     let mut load = loaded(3, 500);
     for _ in 0..4 {
-        load.sent(None, NOW);
+        load.record_send(None, NOW);
     }
     assert_eq!(load.occupancy(), 7);
-    load.ended(NOW);
+    load.record_end(NOW);
     assert_eq!(load.occupancy(), 6);
 }
 
@@ -161,7 +161,7 @@
 fn corrected_rule_avoids_the_group_just_filled() {
     let mut filled = loaded(0, 500);
     for _ in 0..10 {
-        filled.sent(None, NOW);
+        filled.record_send(None, NOW);
     }
     let idle = loaded(2, 500);
     let candidates = [&filled, &idle].map(|load| load);
@@ -171,14 +171,14 @@
         .map(|(index, load)| Candidate {
             index,
             load,
-            near: true,
+            same_hall: true,
         })
         .collect();
     let mut context = PickContext {
         rule: Rule::Corrected,
         prefix: None,
         now: NOW,
-        turn: 0,
+        pick_count: 0,
     };
     let mut rng = StdRng::seed_from_u64(1);
     assert_eq!(pick(&list, &context, &mut rng), Some(1));
@@ -199,16 +199,16 @@
         added: true,
     };
     let mut hints = PrefixHints::default();
-    hints.learn(&[event(1, 10)], NOW);
+    hints.apply_events(&[event(1, 10)], NOW);
     let soon = NOW + Millis::new(30_000);
-    assert!(hints.has(10, soon));
-    hints.learn(&[event(5, 11)], NOW);
+    assert!(hints.is_cached(10, soon));
+    hints.apply_events(&[event(5, 11)], NOW);
     assert!(
-        !hints.has(10, soon),
+        !hints.is_cached(10, soon),
         "what was before a gap is trusted less"
     );
-    assert!(hints.has(11, soon));
-    assert!(!hints.has(11, NOW + Millis::new(61_000)));
+    assert!(hints.is_cached(11, soon));
+    assert!(!hints.is_cached(11, NOW + Millis::new(61_000)));
 }
 
 #[test]
