--- a/crates/thistlesill-router/src/callers.rs
+++ b/crates/thistlesill-router/src/callers.rs
@@ -1,5 +1,5 @@
-//! What callers meet: the `OpenAI` completion protocol, plain services under
-//! their own paths, and the balancer's health check.
+//! HTTP server for callers: the `OpenAI` completion protocol, plain services under their own paths,
+//! and the load balancer's health check.
 
 mod head;
 
@@ -29,39 +29,41 @@
 use self::head::{Head, bad, resume_point, text_header};
 use crate::daemon::LoopEvent;
 use crate::openai::{self, Completion, Dialect};
-use crate::pending::{Asked, CallerGuard, Pending, PlainAsk, Reply, StreamEnd, WholeReply};
+use crate::pending::{
+    CallerGuard, CallerRequest, CompleteReply, Pending, PlainCall, Reply, StreamEnd,
+};
 
-/// Header with the request's id, on every answer.
+/// Response header with the request id, on every answer to a routed request.
 const REQUEST_HEADER: &str = "x-request-id";
 
 type Events = mpsc::UnboundedSender<LoopEvent>;
 
-/// The connections of callers.
+/// The running HTTP server for callers.
 pub struct Callers {
     handle: ServerHandle,
     task: JoinHandle<()>,
 }
 
 impl Callers {
-    /// Waits until the callers have read their answers, for `limit` at most; new
-    /// connections are not accepted meanwhile.
+    /// Stops accepting connections and waits until the callers have read their answers, for `limit`
+    /// at most.
     ///
-    /// A process that ends with its last request cuts off the callers that are slower
-    /// to read than their targets were to answer: of 16 MiB none arrived whole.
+    /// A process that exits right after its last request cuts off callers that read more slowly
+    /// than their targets answered: of answers of 16 MiB none arrived complete.
     pub async fn finish(self, limit: Duration) {
         self.handle.stop_graceful(limit);
         if let Err(error) = self.task.await {
-            log::error!("callers: the server ended early: {error}");
+            log::error!("callers: server task failed: {error}");
         }
     }
 }
 
-/// Serves callers in a task of its own.
+/// Starts the HTTP server for callers in a task of its own.
 ///
 /// # Panics
 ///
-/// If the settings have no address for callers; their check sees to it. If that
-/// address cannot be bound.
+/// If the settings have no address for callers, which their check rules out, or if that address
+/// cannot be bound.
 pub fn spawn(config: &DaemonConfig, shelf: Shelf, events: Events) -> Callers {
     let address = config.callers.expect("checked settings of a router");
     let shared = Arc::new(Shared {
@@ -82,36 +84,39 @@
 }
 
 fn routes(shared: &Arc<Shared>) -> Router {
-    let on = |call: Call| Caller {
+    let on = |endpoint: Endpoint| EndpointHandler {
         shared: shared.clone(),
-        call,
+        endpoint,
     };
     Router::new()
-        .push(Router::with_path("v1/chat/completions").post(on(Call::Complete(Dialect::Chat))))
-        .push(Router::with_path("v1/completions").post(on(Call::Complete(Dialect::Text))))
-        .push(Router::with_path("v1/models").get(on(Call::Models)))
-        .push(Router::with_path("services/{name}/{**rest}").goal(on(Call::Plain)))
-        .push(Router::with_path("healthz").get(on(Call::Health)))
-        .push(Router::with_path("{**rest}").goal(on(Call::Nothing)))
+        .push(
+            Router::with_path("v1/chat/completions").post(on(Endpoint::Completions(Dialect::Chat))),
+        )
+        .push(Router::with_path("v1/completions").post(on(Endpoint::Completions(Dialect::Text))))
+        .push(Router::with_path("v1/models").get(on(Endpoint::Models)))
+        .push(Router::with_path("services/{name}/{**rest}").goal(on(Endpoint::PlainService)))
+        .push(Router::with_path("healthz").get(on(Endpoint::Health)))
+        .push(Router::with_path("{**rest}").goal(on(Endpoint::Unknown)))
 }
 
+/// Endpoint that a route leads to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Call {
-    Complete(Dialect),
+enum Endpoint {
+    Completions(Dialect),
     Models,
-    Plain,
+    PlainService,
     Health,
-    Nothing,
+    Unknown,
 }
 
 #[derive(Clone)]
-struct Caller {
+struct EndpointHandler {
     shared: Arc<Shared>,
-    call: Call,
+    endpoint: Endpoint,
 }
 
 #[handler]
-impl Caller {
+impl EndpointHandler {
     async fn handle(
         &self,
         req: &mut Request,
@@ -119,15 +124,15 @@
         res: &mut Response,
         _ctrl: &mut FlowCtrl,
     ) {
-        let result = match self.call {
-            Call::Complete(dialect) => self.complete(dialect, req, res).await,
-            Call::Plain => self.plain(req, res).await,
-            Call::Models => self.models(req, res).await,
-            Call::Health => {
+        let result = match self.endpoint {
+            Endpoint::Completions(dialect) => self.complete(dialect, req, res).await,
+            Endpoint::PlainService => self.plain_service(req, res).await,
+            Endpoint::Models => self.models(req, res).await,
+            Endpoint::Health => {
                 self.health(res).await;
                 Ok(())
             }
-            Call::Nothing => Err(ErrorBody::new(ErrorKind::NotFound, None)),
+            Endpoint::Unknown => Err(ErrorBody::new(ErrorKind::NotFound, None)),
         };
         if let Err(body) = result {
             write_error(res, &body);
@@ -135,8 +140,8 @@
     }
 }
 
-impl Caller {
-    /// The customer whose token the request carries.
+impl EndpointHandler {
+    /// Returns the customer that the bearer token of the request belongs to.
     fn customer(&self, req: &Request) -> Result<CustomerId, ErrorBody> {
         let Some(tree) = self.shared.shelf.get() else {
             return Err(ErrorBody::new(ErrorKind::NotReady, None));
@@ -184,21 +189,21 @@
                 offset: id.offset + 1,
             }),
         };
-        let asked = Asked::Completion(Box::new(completion.clone()));
-        let conversation = self.begin(arrival, asked, res)?;
+        let caller_request = CallerRequest::Completion(Box::new(completion.clone()));
+        let exchange = self.submit(arrival, caller_request, res)?;
         if completion.streamed {
-            conversation.stream(completion, res).await
+            exchange.respond_stream(completion, res).await
         } else {
-            conversation.whole(res).await
+            exchange.respond_complete(res).await
         }
     }
 
-    async fn plain(&self, req: &mut Request, res: &mut Response) -> Result<(), ErrorBody> {
+    async fn plain_service(&self, req: &mut Request, res: &mut Response) -> Result<(), ErrorBody> {
         let customer = self.customer(req)?;
         let body = self.body(req).await?;
         let head = Head::read(req)?;
         let name = req.param::<String>("name").unwrap_or_default();
-        let ask = PlainAsk {
+        let plain_call = PlainCall {
             method: req.method().clone(),
             uri: service_uri(req, &name).ok_or_else(|| bad("the path is malformed"))?,
             media: text_header(req, "content-type"),
@@ -218,8 +223,8 @@
             body: sha256_hex(&body),
             resume: None,
         };
-        let conversation = self.begin(arrival, Asked::Plain(Box::new(ask)), res)?;
-        conversation.whole(res).await
+        let exchange = self.submit(arrival, CallerRequest::Plain(Box::new(plain_call)), res)?;
+        exchange.respond_complete(res).await
     }
 
     async fn models(&self, req: &Request, res: &mut Response) -> Result<(), ErrorBody> {
@@ -233,7 +238,7 @@
         Ok(())
     }
 
-    /// The balancer's health check: fails as soon as the router is to stop.
+    /// Answers the load balancer's health check, which fails as soon as the router is to stop.
     async fn health(&self, res: &mut Response) {
         let (reply, answer) = oneshot::channel();
         drop(self.shared.events.send(LoopEvent::Health(reply)));
@@ -244,18 +249,18 @@
         }
     }
 
-    /// Hands a request to the loop.
-    fn begin(
+    /// Sends a request to the loop.
+    fn submit(
         &self,
         arrival: Arrival,
-        asked: Asked,
+        caller_request: CallerRequest,
         res: &mut Response,
-    ) -> Result<Conversation, ErrorBody> {
+    ) -> Result<Exchange, ErrorBody> {
         let request = arrival.request;
         drop(res.add_header(REQUEST_HEADER, request.to_string(), true));
         let (reply, replies) = mpsc::unbounded_channel();
         let pending = Box::new(Pending {
-            asked,
+            caller_request,
             reply,
             repeatable: arrival.repeatable != Some(false) && arrival.key.is_none(),
             answer: None,
@@ -269,7 +274,7 @@
         if self.shared.events.send(event).is_err() {
             return Err(ErrorBody::new(ErrorKind::NotReady, None));
         }
-        Ok(Conversation {
+        Ok(Exchange {
             request,
             replies,
             guard,
@@ -277,22 +282,22 @@
     }
 }
 
-/// One request's way back to its caller.
-struct Conversation {
+/// The HTTP exchange of one request, which receives its replies from the loop.
+struct Exchange {
     request: RequestId,
     replies: mpsc::UnboundedReceiver<Reply>,
     guard: CallerGuard,
 }
 
-impl Conversation {
-    /// Answers with a whole body.
-    async fn whole(mut self, res: &mut Response) -> Result<(), ErrorBody> {
+impl Exchange {
+    /// Answers with a complete body.
+    async fn respond_complete(mut self, res: &mut Response) -> Result<(), ErrorBody> {
         loop {
             match self.replies.recv().await {
                 Some(Reply::Piece { .. }) => {}
-                Some(Reply::Whole(whole)) => {
+                Some(Reply::Complete(complete_reply)) => {
                     self.guard.done();
-                    write_whole(res, whole);
+                    write_complete(res, complete_reply);
                     return Ok(());
                 }
                 Some(Reply::Failed(body)) => {
@@ -304,36 +309,40 @@
         }
     }
 
-    /// Answers with a stream, once the first piece is there; a failure
-    /// before that has its own status.
-    async fn stream(mut self, completion: Completion, res: &mut Response) -> Result<(), ErrorBody> {
+    /// Answers with a stream once the first piece has arrived. A failure before that is answered
+    /// with its own status.
+    async fn respond_stream(
+        mut self,
+        completion: Completion,
+        res: &mut Response,
+    ) -> Result<(), ErrorBody> {
         match self.replies.recv().await {
             Some(Reply::Failed(body)) => {
                 self.guard.done();
                 Err(body)
             }
             Some(first) => {
-                sse::stream(res, self.events(completion, first));
+                sse::stream(res, self.event_stream(completion, first));
                 Ok(())
             }
             None => Err(ErrorBody::new(ErrorKind::Internal, None)),
         }
     }
 
-    fn events(
+    fn event_stream(
         self,
         completion: Completion,
         first: Reply,
     ) -> impl Stream<Item = Result<SseEvent, std::convert::Infallible>> + Send {
         let state = EventWriter {
-            conversation: self,
+            exchange: self,
             completion,
             next: Some(first),
             queue: Vec::new(),
-            over: false,
+            finished: false,
         };
         futures_util::stream::unfold(state, |mut state| async move {
-            let event = state.step().await?;
+            let event = state.next_event().await?;
             Some((Ok(event), state))
         })
     }
@@ -341,51 +350,51 @@
 
 /// Turns replies into server-sent events.
 struct EventWriter {
-    conversation: Conversation,
+    exchange: Exchange,
     completion: Completion,
     next: Option<Reply>,
-    /// Events to send before the next reply, the last one first.
+    /// Events to send before the next reply, in reverse order.
     queue: Vec<SseEvent>,
-    over: bool,
+    finished: bool,
 }
 
 impl EventWriter {
-    async fn step(&mut self) -> Option<SseEvent> {
+    async fn next_event(&mut self) -> Option<SseEvent> {
         if let Some(event) = self.queue.pop() {
-            if self.queue.is_empty() && self.over {
-                self.conversation.guard.done();
+            if self.queue.is_empty() && self.finished {
+                self.exchange.guard.done();
             }
             return Some(event);
         }
-        if self.over {
+        if self.finished {
             return None;
         }
         let reply = match self.next.take() {
             Some(reply) => reply,
-            None => self.conversation.replies.recv().await?,
+            None => self.exchange.replies.recv().await?,
         };
-        let request = self.conversation.request;
+        let request = self.exchange.request;
         match reply {
             Reply::Piece { id, text } => {
                 let data = self.completion.chunk(request, Some(&text), None);
                 Some(SseEvent::default().id(id.to_string()).text(data))
             }
-            Reply::Whole(whole) => {
-                self.over = true;
-                self.queue = self.closing(request, whole.end);
+            Reply::Complete(complete_reply) => {
+                self.finished = true;
+                self.queue = self.final_events(request, complete_reply.end);
                 self.queue.pop()
             }
             Reply::Failed(body) => {
-                self.over = true;
-                self.conversation.guard.done();
+                self.finished = true;
+                self.exchange.guard.done();
                 let text = serde_json::to_string(&body).unwrap_or_default();
                 Some(SseEvent::default().name("error").text(text))
             }
         }
     }
 
-    /// The last events of a stream, the last one first.
-    fn closing(&self, request: RequestId, end: Option<StreamEnd>) -> Vec<SseEvent> {
+    /// Returns the last events of a stream, in reverse order.
+    fn final_events(&self, request: RequestId, end: Option<StreamEnd>) -> Vec<SseEvent> {
         let mut events = vec![SseEvent::default().text("[DONE]")];
         let Some(end) = end else { return events };
         let data = self.completion.chunk(request, None, Some(&end.reason));
@@ -415,7 +424,7 @@
     RequestId::new(rand::rng().random())
 }
 
-/// Path and query at the service, without the router's own prefix.
+/// Returns path and query at the service, without the router's own prefix.
 fn service_uri(req: &Request, name: &str) -> Option<Uri> {
     let full = req.uri().path_and_query()?.as_str();
     let rest = full.strip_prefix("/services/")?.strip_prefix(name)?;
@@ -427,9 +436,9 @@
     path.parse().ok()
 }
 
-fn write_whole(res: &mut Response, whole: WholeReply) {
-    let status = StatusCode::from_u16(whole.status);
+fn write_complete(res: &mut Response, complete_reply: CompleteReply) {
+    let status = StatusCode::from_u16(complete_reply.status);
     res.status_code(status.unwrap_or(StatusCode::BAD_GATEWAY));
-    drop(res.add_header("content-type", whole.media, true));
-    drop(res.write_body(whole.body));
+    drop(res.add_header("content-type", complete_reply.media, true));
+    drop(res.write_body(complete_reply.body));
 }
--- a/crates/thistlesill-router/src/callers/head.rs
+++ b/crates/thistlesill-router/src/callers/head.rs
@@ -1,47 +1,47 @@
-//! The headers of a caller's request.
+//! Headers of callers' requests.
 
 use salvo::prelude::Request;
 use thistlesill_core::error::ErrorBody;
 use thistlesill_core::event_id::EventId;
 use thistlesill_core::{ErrorKind, Millis};
 
-/// Header with the caller's idempotency key.
+/// Request header with the idempotency key.
 const KEY_HEADER: &str = "idempotency-key";
-/// Characters of an idempotency key at most.
-const MAX_KEY: usize = 128;
-/// Header with the caller's deadline in milliseconds.
+/// Maximum length of an idempotency key.
+const MAX_KEY_LEN: usize = 128;
+/// Request header with the time limit in milliseconds.
 const DEADLINE_HEADER: &str = "x-deadline-ms";
-/// Header with the caller's priority.
+/// Request header with the priority; lower goes first.
 const PRIORITY_HEADER: &str = "x-priority";
-/// Header that marks a request as not repeatable.
+/// Request header that says whether the request may run more than once.
 const REPEATABLE_HEADER: &str = "x-repeatable";
-/// Header with the id of the last event that the caller has.
+/// Request header with the id of the last event that the caller received.
 const LAST_EVENT_HEADER: &str = "last-event-id";
 
-/// The headers that matter to every request.
+/// Headers that apply to every request.
 pub(super) struct Head {
-    /// How long the caller waits.
+    /// How long the caller waits for the answer.
     pub(super) deadline: Option<Millis>,
-    /// Its rank.
+    /// Priority; lower goes first.
     pub(super) priority: Option<u8>,
     /// Whether the request may run more than once.
     pub(super) repeatable: Option<bool>,
-    /// Its idempotency key.
+    /// Idempotency key.
     pub(super) key: Option<String>,
 }
 
 impl Head {
     pub(super) fn read(req: &Request) -> Result<Self, ErrorBody> {
         Ok(Self {
-            deadline: parsed(req, DEADLINE_HEADER)?.map(Millis::new),
-            priority: parsed(req, PRIORITY_HEADER)?,
-            repeatable: parsed(req, REPEATABLE_HEADER)?,
+            deadline: parse_header(req, DEADLINE_HEADER)?.map(Millis::new),
+            priority: parse_header(req, PRIORITY_HEADER)?,
+            repeatable: parse_header(req, REPEATABLE_HEADER)?,
             key: idempotency_key(req)?,
         })
     }
 }
 
-fn parsed<T: std::str::FromStr>(req: &Request, name: &str) -> Result<Option<T>, ErrorBody> {
+fn parse_header<T: std::str::FromStr>(req: &Request, name: &str) -> Result<Option<T>, ErrorBody> {
     let Some(text) = text_header(req, name) else {
         return Ok(None);
     };
@@ -57,8 +57,8 @@
     let Some(key) = text_header(req, KEY_HEADER) else {
         return Ok(None);
     };
-    let plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.' | ':');
-    if key.is_empty() || key.len() > MAX_KEY || !key.chars().all(plain) {
+    let allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.' | ':');
+    if key.is_empty() || key.len() > MAX_KEY_LEN || !key.chars().all(allowed) {
         let text = "an Idempotency-Key has 1 to 128 letters, digits, `-`, `_`, `.` or `:`";
         return Err(bad(text));
     }
@@ -76,7 +76,7 @@
 
 pub(super) fn text_header(req: &Request, name: &str) -> Option<String> {
     let value = req.headers().get(name)?;
-    // A value that is no text must not pass for a missing one.
+    // A value that is not valid text must not be treated as a missing header.
     Some(String::from_utf8_lossy(value.as_bytes()).into_owned())
 }
 
--- a/crates/thistlesill-router/src/daemon.rs
+++ b/crates/thistlesill-router/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The router's loop: events in, the core's step, actions out.
+//! Main loop of the router: receives events, steps the core and carries out its actions.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -32,58 +32,58 @@
 use tokio::sync::mpsc;
 
 use crate::callers;
-use crate::pending::{Asked, Pending, Reply, Running};
-use crate::reply::{outcome_of, whole_reply};
+use crate::pending::{CallerRequest, Pending, Reply, RunningAttempt};
+use crate::reply::{complete_reply, recordable_outcome};
 use crate::send;
 
-/// Between two looks at the time.
-const TICK: Duration = Duration::from_millis(25);
-/// Time in which answers that were written arrive at callers that read them at once.
-const LAST_BYTES: Duration = Duration::from_millis(500);
+/// Interval between [`RouterEvent::Tick`] events.
+const TICK_INTERVAL: Duration = Duration::from_millis(25);
+/// Minimum time for answers that were already written to reach callers that read at once.
+const MIN_FLUSH_TIME: Duration = Duration::from_millis(500);
 
-/// Why a router could not start.
+/// Reason why a router could not start.
 #[derive(Debug, Snafu)]
 pub enum StartError {
     /// A state chart does not pass its check.
     #[snafu(display("{source}"))]
     Charts {
-        /// The cause.
+        /// Result of the check.
         source: ChartError,
     },
-    /// The address for peers could not be bound.
+    /// The address for messages from peers could not be bound.
     #[snafu(display("peers: {source}"))]
     Peers {
-        /// The cause.
+        /// Underlying error.
         source: PeerError,
     },
 }
 
-/// What the loop takes in.
+/// Input of the main loop.
 #[derive(Debug)]
 pub enum LoopEvent {
-    /// A caller's request.
+    /// A request arrived.
     Arrive {
-        /// For the core.
+        /// Part of the request that the core decides on.
         arrival: Box<Arrival>,
-        /// What the daemon keeps.
+        /// Part of the request that the daemon keeps.
         pending: Box<Pending>,
     },
-    /// The caller went away.
+    /// The caller disconnected.
     CallerGone(RequestId),
-    /// Something for the core.
+    /// An event that is passed to the core unchanged.
     Core(Box<RouterEvent>),
-    /// A plain answer.
+    /// A plain service answered.
     Answer {
-        /// The request.
+        /// Request that was answered.
         request: RequestId,
-        /// The attempt.
+        /// Number of the attempt, from 1.
         attempt: u32,
-        /// The answer.
+        /// Complete answer.
         answer: Box<Response<Bytes>>,
     },
-    /// The models that are served.
+    /// Asks for the models that are served.
     Models(tokio::sync::oneshot::Sender<Vec<Model>>),
-    /// Whether the router is ready for callers.
+    /// Asks whether the router is ready for callers.
     Health(tokio::sync::oneshot::Sender<bool>),
 }
 
@@ -116,25 +116,25 @@
     feed: SettingsFeed,
     events: mpsc::UnboundedSender<LoopEvent>,
     pending: HashMap<RequestId, Pending>,
-    /// When it was told to stop.
-    stopped: Option<Millis>,
+    /// When the daemon was first asked to stop.
+    stop_requested_at: Option<Millis>,
     exit: bool,
 }
 
-/// Runs a router until it is told to stop and all its requests have ended.
+/// Runs a router until it is asked to stop and all its requests have ended.
 ///
 /// # Errors
 ///
-/// A [`StartError`] if it could not start.
+/// A [`StartError`] if the router could not start.
 ///
 /// # Panics
 ///
-/// If the process cannot await signals.
+/// If the process cannot install its signal handler.
 pub async fn run(config: DaemonConfig, secrets: Secrets) -> Result<(), StartError> {
-    let (events, mut inbox) = mpsc::unbounded_channel();
+    let (events, mut loop_events) = mpsc::unbounded_channel();
     let core = RouterCore::new(options(&config)).context(ChartsSnafu)?;
     let base = base::start(&config, &secrets).await.context(PeersSnafu)?;
-    let (mut asked, mut datagrams) = (base.questions, base.datagrams);
+    let (mut admin_questions, mut datagrams) = (base.questions, base.datagrams);
     let callers = callers::spawn(&config, base.feed.shelf.clone(), events.clone());
     let mut daemon = Daemon {
         core,
@@ -146,31 +146,31 @@
         link: base.link,
         events,
         pending: HashMap::new(),
-        stopped: None,
+        stop_requested_at: None,
         exit: false,
         config,
     };
     log::info!("router: {} started", daemon.config.name);
-    let mut tick = tokio::time::interval(TICK);
+    let mut tick = tokio::time::interval(TICK_INTERVAL);
     tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let mut stop = signal(SignalKind::terminate()).expect("signals can be awaited");
     while !daemon.exit {
         tokio::select! {
-            Some(event) = inbox.recv() => daemon.take(event),
-            Some(question) = asked.recv() => daemon.answer(question),
-            Some(message) = datagrams.recv() => daemon.hear(message),
+            Some(event) = loop_events.recv() => daemon.handle_event(event),
+            Some(question) = admin_questions.recv() => daemon.answer_admin(question),
+            Some(message) = datagrams.recv() => daemon.handle_message(message),
             _ = stop.recv() => daemon.stop(),
             _ = tick.tick() => daemon.tick(),
         }
     }
-    // Who came in the meantime is refused as not run.
-    inbox.close();
-    while let Ok(event) = inbox.try_recv() {
-        daemon.take(event);
+    // Requests that arrived in the meantime are refused as not run.
+    loop_events.close();
+    while let Ok(event) = loop_events.try_recv() {
+        daemon.handle_event(event);
     }
-    let (name, rest) = (daemon.config.name.clone(), daemon.rest());
+    let (name, remaining) = (daemon.config.name.clone(), daemon.remaining_stop_time());
     drop(daemon);
-    callers.finish(rest).await;
+    callers.finish(remaining).await;
     log::info!("router: {name} stopped");
     Ok(())
 }
@@ -193,11 +193,11 @@
         let now = self.clock.now();
         let actions = self.core.step(event, now);
         for action in actions {
-            self.act(action);
+            self.execute(action);
         }
     }
 
-    fn take(&mut self, event: LoopEvent) {
+    fn handle_event(&mut self, event: LoopEvent) {
         match event {
             LoopEvent::Arrive { arrival, pending } => {
                 self.pending.insert(arrival.request, *pending);
@@ -205,7 +205,7 @@
             }
             LoopEvent::CallerGone(request) => {
                 self.step(RouterEvent::CallerGone(request));
-                self.forget_gone(request);
+                self.forget_if_ended(request);
             }
             LoopEvent::Core(event) => self.step(*event),
             LoopEvent::Answer {
@@ -229,8 +229,8 @@
         }
     }
 
-    /// Forgets a request whose caller is gone, unless it must run on.
-    fn forget_gone(&mut self, request: RequestId) {
+    /// Drops a request whose caller disconnected, unless the core runs it to its end.
+    fn forget_if_ended(&mut self, request: RequestId) {
         if !self.core.is_under_way(request) {
             self.pending.remove(&request);
         }
@@ -250,48 +250,50 @@
     }
 
     fn stop(&mut self) {
-        log::info!("router: {} is told to stop", self.config.name);
-        self.stopped.get_or_insert_with(|| self.clock.now());
+        log::info!("router: {} stopping", self.config.name);
+        self.stop_requested_at
+            .get_or_insert_with(|| self.clock.now());
         self.step(RouterEvent::Stop);
     }
 
-    /// What is left of the time to stop, for callers that are slow to read.
-    fn rest(&self) -> Duration {
+    /// Returns what remains of the time to stop, for callers that read slowly.
+    fn remaining_stop_time(&self) -> Duration {
         let periods = &self.config.periods;
         let limit = Millis::new(periods.balancer_ms + periods.stop_ms);
-        let begun = self.stopped.unwrap_or(Millis::ZERO);
-        let rest = limit - (self.clock.now() - begun);
-        rest.duration().max(LAST_BYTES)
+        let requested_at = self.stop_requested_at.unwrap_or(Millis::ZERO);
+        let remaining = limit - (self.clock.now() - requested_at);
+        remaining.duration().max(MIN_FLUSH_TIME)
     }
 
     fn tick(&mut self) {
         self.step(RouterEvent::Tick);
-        let take = self.settings_sink();
-        self.feed.tick(self.clock.now(), take);
+        let on_settings = self.settings_sink();
+        self.feed.tick(self.clock.now(), on_settings);
     }
 
-    /// Hands settings that were read to the loop.
+    /// Returns a callback that sends settings to the loop.
     fn settings_sink(&self) -> impl FnOnce(Arc<Tree>) + Send + use<> {
         let events = self.events.clone();
         move |tree| drop(events.send(LoopEvent::Core(Box::new(RouterEvent::Settings(tree)))))
     }
 
-    fn hear(&mut self, message: Heard) {
+    fn handle_message(&mut self, message: Heard) {
         let Heard { from, lag, body } = message;
         match body {
             PeerBody::Beat(beat) => self.step(RouterEvent::Beat { from, beat, lag }),
             PeerBody::Digest(part) => self.step(RouterEvent::Digest { from, part, lag }),
             PeerBody::Usage(usage) => self.step(RouterEvent::Usage { from, usage }),
-            PeerBody::Fatal(told) => self.step(RouterEvent::Fatal(told)),
+            PeerBody::Fatal(fatal) => self.step(RouterEvent::Fatal(fatal)),
             PeerBody::Head { revision } => {
-                let take = self.settings_sink();
-                self.feed.heard(&from, revision, self.clock.now(), take);
+                let on_settings = self.settings_sink();
+                self.feed
+                    .heard(&from, revision, self.clock.now(), on_settings);
             }
             PeerBody::Want => {}
         }
     }
 
-    fn answer(&mut self, question: Question) {
+    fn answer_admin(&mut self, question: Question) {
         let reply = match question.ask {
             AdminAsk::Ready if self.core.is_ready() => AdminReply::Yes,
             AdminAsk::Status => AdminReply::value(&self.core.status()),
@@ -305,7 +307,7 @@
         drop(question.reply.send(reply));
     }
 
-    fn act(&mut self, action: RouterAction) {
+    fn execute(&mut self, action: RouterAction) {
         match action {
             RouterAction::Send(dispatch) => self.send(*dispatch),
             RouterAction::Cancel { request, .. } => self.cancel(request),
@@ -345,9 +347,9 @@
                 let routers = self.config.peers.iter().filter(|p| p.role == Role::Router);
                 self.link.tell(routers, PeerBody::Usage(usage));
             }
-            RouterAction::TellFatal(told) => {
+            RouterAction::TellFatal(fatal) => {
                 let routers = self.config.peers.iter().filter(|p| p.role == Role::Router);
-                self.link.tell(routers, PeerBody::Fatal(told));
+                self.link.tell(routers, PeerBody::Fatal(fatal));
             }
             RouterAction::TellHead(revision) => {
                 if let Some(tree) = self.core.tree() {
@@ -368,16 +370,20 @@
         let (engines, events) = (self.engines.clone(), self.events.clone());
         let address = dispatch.address;
         let repeatable = pending.repeatable;
-        let task = match pending.asked.clone() {
-            Asked::Completion(ask) => {
-                let job = send::completion(engines, dispatch, *ask, repeatable, events);
+        let task = match pending.caller_request.clone() {
+            CallerRequest::Completion(completion) => {
+                let job = send::completion(engines, dispatch, *completion, repeatable, events);
                 tokio::spawn(job)
             }
-            Asked::Plain(ask) => {
-                tokio::spawn(send::plain(engines, dispatch, *ask, repeatable, events))
-            }
+            CallerRequest::Plain(plain_call) => tokio::spawn(send::plain(
+                engines,
+                dispatch,
+                *plain_call,
+                repeatable,
+                events,
+            )),
         };
-        pending.attempt = Some(Running { address, task });
+        pending.attempt = Some(RunningAttempt { address, task });
     }
 
     fn cancel(&mut self, request: RequestId) {
@@ -388,7 +394,7 @@
             return;
         };
         running.task.abort();
-        if matches!(pending.asked, Asked::Completion(_)) {
+        if matches!(pending.caller_request, CallerRequest::Completion(_)) {
             tokio::spawn(send::cancel(self.engines.clone(), running.address, request));
         }
     }
@@ -415,11 +421,11 @@
         let Some(pending) = self.pending.remove(&request) else {
             return;
         };
-        let whole = whole_reply(request, &pending, ending);
-        if let Some(outcome) = outcome_of(&whole) {
+        let complete = complete_reply(request, &pending, ending);
+        if let Some(outcome) = recordable_outcome(&complete) {
             self.core.record(request, outcome);
         }
-        drop(pending.reply.send(Reply::Whole(whole)));
+        drop(pending.reply.send(Reply::Complete(complete)));
     }
 
     fn fail(&mut self, request: RequestId, kind: ErrorKind, after: Option<Millis>) {
--- a/crates/thistlesill-router/src/lib.rs
+++ b/crates/thistlesill-router/src/lib.rs
@@ -1,8 +1,8 @@
-//! The router daemon: answers callers by way of the groups that may serve.
+//! Router daemon: answers callers through the groups that serve.
 //!
-//! Callers' handlers hand a typed event to the one loop, which steps the
-//! pure [`RouterCore`](thistlesill_policy::router::RouterCore) and carries
-//! out what it returns.
+//! Handlers of callers' connections send typed events to a single loop, which steps the pure
+//! [`RouterCore`](thistlesill_policy::router::RouterCore) and carries out the actions that it
+//! returns.
 
 pub mod callers;
 pub mod daemon;
--- a/crates/thistlesill-router/src/main.rs
+++ b/crates/thistlesill-router/src/main.rs
@@ -1,6 +1,6 @@
-//! Starts a router.
+//! Command line of the router daemon.
 //!
-//! The type of the command line is generated from its description below.
+//! xflags generates the type of the command line from the description below.
 #![allow(missing_docs)]
 
 use std::path::PathBuf;
@@ -10,7 +10,7 @@
 use thistlesill_net::launch::launch;
 
 xflags::xflags! {
-    /// Answers callers by way of the groups that may serve.
+    /// Answers callers through the groups that serve.
     ///
     /// Example: thistlesill-router concord-r1.jsonc
     cmd thistlesill-router {
--- a/crates/thistlesill-router/src/openai.rs
+++ b/crates/thistlesill-router/src/openai.rs
@@ -1,14 +1,14 @@
-//! The shapes of the `OpenAI` protocol that callers speak.
+//! Requests and answers of the `OpenAI` completion protocol.
 
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value, json};
 use snafu::Snafu;
 use thistlesill_core::{Model, RequestId};
 
-/// Bytes of the prompt that count as its prefix.
+/// Number of bytes of the first prompt text that are hashed as its prefix.
 const PREFIX_BYTES: usize = 64;
 
-/// Which completion protocol a request speaks.
+/// Completion protocol of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Dialect {
     /// `POST /v1/chat/completions`.
@@ -18,7 +18,7 @@
 }
 
 impl Dialect {
-    /// The path of the dialect.
+    /// Returns the URL path of the protocol.
     pub const fn path(self) -> &'static str {
         match self {
             Self::Chat => "/v1/chat/completions",
@@ -27,34 +27,34 @@
     }
 }
 
-/// What is wrong with a completion request.
+/// Reason why a completion request is invalid.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("{text}"))]
 pub struct BadCompletion {
-    /// One sentence.
+    /// Description of the problem, for the caller.
     pub text: String,
 }
 
-/// A completion request that was read and checked.
+/// A parsed and validated completion request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Completion {
-    /// Its dialect.
+    /// Protocol in which the caller is answered.
     pub dialect: Dialect,
-    /// The model asked for.
+    /// Requested model.
     pub model: Model,
-    /// Whether the caller wants a stream.
+    /// Whether the caller asked for a stream.
     pub streamed: bool,
-    /// Hash of the prompt's beginning.
+    /// Hash of the beginning of the prompt; `None` for an empty prompt.
     pub prefix: Option<u64>,
     body: Map<String, Value>,
 }
 
-/// Reads a completion request.
+/// Parses a completion request.
 ///
 /// # Errors
 ///
-/// [`BadCompletion`] if the body is no JSON object, or a field that is
-/// needed is missing or of the wrong type.
+/// [`BadCompletion`] if the body is not a JSON object, or if a required field is missing or of the
+/// wrong type.
 pub fn parse(dialect: Dialect, bytes: &[u8]) -> Result<Completion, BadCompletion> {
     let body: Map<String, Value> =
         serde_json::from_slice(bytes).map_err(|e| bad(format!("not a JSON object: {e}")))?;
@@ -78,32 +78,32 @@
 }
 
 impl Completion {
-    /// The body for an engine, which always streams.
+    /// Returns the request body for an engine, which always streams.
     pub fn engine_body(&self) -> Vec<u8> {
         let mut body = self.body.clone();
         body.insert("stream".to_owned(), Value::Bool(true));
         to_bytes(&body)
     }
 
-    /// The body for an engine that goes on after `said`.
-    pub fn continued_body(&self, said: &str) -> Vec<u8> {
+    /// Returns the request body for an engine that continues after the text `delivered`.
+    pub fn continued_body(&self, delivered: &str) -> Vec<u8> {
         let mut body = self.body.clone();
         body.insert("stream".to_owned(), Value::Bool(true));
         match self.dialect {
             Dialect::Chat => {
-                let turn = json!({"role": "assistant", "content": said});
+                let turn = json!({"role": "assistant", "content": delivered});
                 if let Some(Value::Array(messages)) = body.get_mut("messages") {
                     messages.push(turn);
                 }
             }
             Dialect::Text => {
-                body.insert("continue_from".to_owned(), Value::from(said));
+                body.insert("continue_from".to_owned(), Value::from(delivered));
             }
         }
         to_bytes(&body)
     }
 
-    /// One piece of a streamed answer.
+    /// Returns one chunk of a streamed answer as JSON.
     pub fn chunk(&self, request: RequestId, text: Option<&str>, finish: Option<&str>) -> String {
         let choice = match self.dialect {
             Dialect::Chat => {
@@ -122,8 +122,14 @@
         json!({"id": id, "object": object, "model": self.model, "choices": [choice]}).to_string()
     }
 
-    /// A whole answer.
-    pub fn whole(&self, request: RequestId, text: &str, count: u32, finish: &str) -> String {
+    /// Returns a complete answer of `count` tokens as JSON.
+    pub fn complete_answer(
+        &self,
+        request: RequestId,
+        text: &str,
+        count: u32,
+        finish: &str,
+    ) -> String {
         let (object, choice) = match self.dialect {
             Dialect::Chat => {
                 let message = json!({"role": "assistant", "content": text});
@@ -145,9 +151,10 @@
         .to_string()
     }
 
-    /// The text of a whole answer that was recorded.
-    pub fn text_of(&self, whole: &str) -> Option<String> {
-        let value: Value = serde_json::from_str(whole).ok()?;
+    /// Returns the text of a complete answer made by [`Self::complete_answer`]; `None` if it cannot be
+    /// parsed.
+    pub fn answer_text(&self, answer: &str) -> Option<String> {
+        let value: Value = serde_json::from_str(answer).ok()?;
         let choice = value.get("choices")?.get(0)?;
         let text = match self.dialect {
             Dialect::Chat => choice.get("message")?.get("content")?,
@@ -157,7 +164,7 @@
     }
 }
 
-/// The list of models.
+/// Returns the answer to a request for the list of models.
 pub fn model_list(models: &[Model]) -> Value {
     let entry = |m: &Model| json!({"id": m, "object": "model", "owned_by": "thistlesill"});
     let data: Vec<Value> = models.iter().map(entry).collect();
--- a/crates/thistlesill-router/src/pending.rs
+++ b/crates/thistlesill-router/src/pending.rs
@@ -1,5 +1,5 @@
-//! What the daemon keeps of a request beside the core: its body, the way
-//! back to the caller, and the attempt under way.
+//! State that the daemon keeps for each request beside the core: its body, the channel to its
+//! caller, and the attempt under way.
 
 use bytes::Bytes;
 use salvo::hyper::{Method, Response, Uri};
@@ -11,95 +11,96 @@
 
 use crate::openai::Completion;
 
-/// What goes back to a caller.
+/// A message from the loop to the handler of a caller's request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Reply {
     /// A piece of a streamed answer.
     Piece {
-        /// Its id.
+        /// Event id of the piece, for resuming after it.
         id: EventId,
-        /// Its text.
+        /// Generated text.
         text: String,
     },
-    /// The answer is whole; nothing follows.
-    Whole(WholeReply),
+    /// The answer is complete; nothing follows.
+    Complete(CompleteReply),
     /// The request failed; nothing follows.
     Failed(ErrorBody),
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct WholeReply {
+pub struct CompleteReply {
     /// HTTP status.
     pub status: u16,
-    /// Media type.
+    /// Media type of the body.
     pub media: String,
-    /// The body.
+    /// Complete body; unused if the caller gets a stream.
     pub body: Bytes,
-    /// The last event's id and why the model stopped, for a stream.
+    /// End of the stream; `None` for a plain service.
     pub end: Option<StreamEnd>,
 }
 
-/// The end of a streamed answer.
+/// End of a streamed answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StreamEnd {
-    /// The last event's id, if the answer came from a group.
+    /// Event id of the end; `None` if the answer was recorded earlier.
     pub id: Option<EventId>,
-    /// Why the model stopped.
+    /// Finish reason given by the model.
     pub reason: String,
-    /// The text, if no pieces were sent before.
+    /// Complete text, if no pieces were sent before.
     pub text: Option<String>,
 }
 
-/// What a caller asked for.
+/// What a caller requested, in the form needed to send attempts.
 #[derive(Debug, Clone)]
-pub enum Asked {
+pub enum CallerRequest {
     /// A completion.
     Completion(Box<Completion>),
     /// A call of a plain service.
-    Plain(Box<PlainAsk>),
+    Plain(Box<PlainCall>),
 }
 
 /// A call of a plain service.
 #[derive(Debug, Clone)]
-pub struct PlainAsk {
-    /// The method.
+pub struct PlainCall {
+    /// HTTP method.
     pub method: Method,
     /// Path and query at the service.
     pub uri: Uri,
-    /// The media type of the body.
+    /// Media type of the body.
     pub media: Option<String>,
-    /// The idempotency key.
+    /// Idempotency key, passed on to the service.
     pub key: Option<String>,
-    /// The body.
+    /// Body of the call.
     pub body: Bytes,
 }
 
-/// A request under way.
+/// A request without a final answer.
 #[derive(Debug)]
 pub struct Pending {
-    /// What was asked.
-    pub asked: Asked,
-    /// The way back to the caller.
+    /// Request to send with each attempt.
+    pub caller_request: CallerRequest,
+    /// Channel to the handler of the caller's request.
     pub reply: mpsc::UnboundedSender<Reply>,
-    /// Whether it may be repeated, for the choice of connection.
+    /// Whether the request may run more than once, for the choice of connection.
     pub repeatable: bool,
-    /// The answer of a plain call.
+    /// Answer of a plain service, until it is passed on.
     pub answer: Option<Response<Bytes>>,
-    /// The attempt under way.
-    pub attempt: Option<Running>,
+    /// Attempt under way.
+    pub attempt: Option<RunningAttempt>,
 }
 
 /// An attempt under way.
 #[derive(Debug)]
-pub struct Running {
-    /// Where it was sent.
+pub struct RunningAttempt {
+    /// Target of the attempt.
     pub address: std::net::SocketAddr,
-    /// The task that sends it and reads its answer.
+    /// Task that sends the attempt and reads its answer.
     pub task: JoinHandle<()>,
 }
 
-/// Tells the loop when a caller is gone before its answer was whole.
+/// Notifies the loop when the handler is dropped, because its caller disconnected before the answer
+/// was complete.
 #[derive(Debug)]
 pub(crate) struct CallerGuard {
     request: RequestId,
@@ -108,7 +109,7 @@
 }
 
 impl CallerGuard {
-    /// Guards a request.
+    /// Creates a guard for a request.
     pub(crate) const fn new(
         request: RequestId,
         events: mpsc::UnboundedSender<crate::daemon::LoopEvent>,
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Notes that the caller has its whole answer.
+    /// Records that the request has its final answer, so that nothing is sent on drop.
     pub(crate) const fn done(&mut self) {
         self.done = true;
     }
--- a/crates/thistlesill-router/src/reply.rs
+++ b/crates/thistlesill-router/src/reply.rs
@@ -1,4 +1,4 @@
-//! Whole answers to callers, and what is recorded of them for their keys.
+//! Complete answers to callers, and the outcomes recorded for idempotency keys.
 
 use bytes::Bytes;
 use thistlesill_core::event_id::EventId;
@@ -6,15 +6,19 @@
 use thistlesill_core::{ErrorKind, RequestId};
 use thistlesill_policy::router::Ending;
 
-use crate::pending::{Asked, Pending, StreamEnd, WholeReply};
+use crate::pending::{CallerRequest, CompleteReply, Pending, StreamEnd};
 use crate::send;
 
-/// Bytes of an answer that is recorded for its key.
-const MAX_RECORDED: usize = 64 << 10;
+/// Maximum size of an answer that is recorded for its key.
+const MAX_RECORDED_BYTES: usize = 64 << 10;
 
-/// The caller's whole answer.
-pub(crate) fn whole_reply(request: RequestId, pending: &Pending, ending: Ending) -> WholeReply {
-    match (ending, &pending.asked) {
+/// Returns the complete answer to a caller.
+pub(crate) fn complete_reply(
+    request: RequestId,
+    pending: &Pending,
+    ending: Ending,
+) -> CompleteReply {
+    match (ending, &pending.caller_request) {
         (
             Ending::Streamed {
                 text,
@@ -22,11 +26,11 @@
                 reason,
                 key,
             },
-            Asked::Completion(ask),
-        ) => WholeReply {
+            CallerRequest::Completion(completion),
+        ) => CompleteReply {
             status: 200,
             media: "application/json".to_owned(),
-            body: Bytes::from(ask.whole(request, &text, count, &reason)),
+            body: Bytes::from(completion.complete_answer(request, &text, count, &reason)),
             end: Some(StreamEnd {
                 id: Some(EventId {
                     request,
@@ -38,22 +42,22 @@
                 text: None,
             }),
         },
-        (Ending::Recorded(outcome), asked) => recorded_reply(outcome, asked),
+        (Ending::Recorded(outcome), caller_request) => recorded_reply(outcome, caller_request),
         (Ending::Whole | Ending::Streamed { .. }, _) => plain_reply(pending),
     }
 }
 
-fn recorded_reply(outcome: Outcome, asked: &Asked) -> WholeReply {
+fn recorded_reply(outcome: Outcome, caller_request: &CallerRequest) -> CompleteReply {
     let body = outcome.body.unwrap_or_default();
-    let end = match asked {
-        Asked::Completion(ask) => Some(StreamEnd {
+    let end = match caller_request {
+        CallerRequest::Completion(completion) => Some(StreamEnd {
             id: None,
             reason: "stop".to_owned(),
-            text: ask.text_of(&body),
+            text: completion.answer_text(&body),
         }),
-        Asked::Plain(_) => None,
+        CallerRequest::Plain(_) => None,
     };
-    WholeReply {
+    CompleteReply {
         status: outcome.status,
         media: outcome.media,
         body: Bytes::from(body),
@@ -61,15 +65,15 @@
     }
 }
 
-fn plain_reply(pending: &Pending) -> WholeReply {
+fn plain_reply(pending: &Pending) -> CompleteReply {
     match &pending.answer {
-        Some(answer) => WholeReply {
+        Some(answer) => CompleteReply {
             status: answer.status().as_u16(),
             media: send::media_of(answer),
             body: answer.body().clone(),
             end: None,
         },
-        None => WholeReply {
+        None => CompleteReply {
             status: ErrorKind::Internal.answer().status,
             media: "text/plain".to_owned(),
             body: Bytes::new(),
@@ -78,14 +82,15 @@
     }
 }
 
-/// What to record for a key; `None` if the answer is too large or no text.
-pub(crate) fn outcome_of(whole: &WholeReply) -> Option<Outcome> {
-    let fits = whole.body.len() <= MAX_RECORDED;
-    let body = String::from_utf8(whole.body.to_vec()).ok();
+/// Returns the outcome to record for an idempotency key; `None` if the body is too large or not
+/// UTF-8.
+pub(crate) fn recordable_outcome(reply: &CompleteReply) -> Option<Outcome> {
+    let fits = reply.body.len() <= MAX_RECORDED_BYTES;
+    let body = String::from_utf8(reply.body.to_vec()).ok();
     let body = body.filter(|_| fits)?;
     Some(Outcome {
-        status: whole.status,
-        media: whole.media.clone(),
+        status: reply.status,
+        media: reply.media.clone(),
         body: Some(body),
     })
 }
--- a/crates/thistlesill-router/src/send.rs
+++ b/crates/thistlesill-router/src/send.rs
@@ -1,4 +1,4 @@
-//! Sends attempts to targets and reports what becomes of them.
+//! Sends attempts to targets and reports their progress and outcome to the loop.
 
 use std::time::Duration;
 
@@ -16,12 +16,12 @@
 
 use crate::daemon::LoopEvent;
 use crate::openai::Completion;
-use crate::pending::PlainAsk;
+use crate::pending::PlainCall;
 
-/// The longest that a plain service may take.
-const MAX_PLAIN: Duration = Duration::from_secs(120);
+/// Maximum duration of a call of a plain service.
+const MAX_PLAIN_DURATION: Duration = Duration::from_secs(120);
 
-/// Sends a completion and passes on what it brings.
+/// Sends a completion request and forwards the events of its stream.
 pub(crate) async fn completion(
     engines: Engines,
     dispatch: Dispatch,
@@ -94,20 +94,20 @@
     }
 }
 
-/// Calls a plain service and passes on what becomes of it.
+/// Calls a plain service and reports the answer or the failure.
 pub(crate) async fn plain(
     engines: Engines,
     dispatch: Dispatch,
-    ask: PlainAsk,
+    plain_call: PlainCall,
     repeatable: bool,
     events: mpsc::UnboundedSender<LoopEvent>,
 ) {
     let (request, attempt) = (dispatch.request, dispatch.attempt);
-    let Some(call) = plain_request(&dispatch, &ask) else {
+    let Some(call) = plain_request(&dispatch, &plain_call) else {
         drop(events.send(LoopEvent::attempt(request, attempt, AttemptEvent::Denied)));
         return;
     };
-    let limit = dispatch.left.duration().min(MAX_PLAIN) + Duration::from_secs(1);
+    let limit = dispatch.left.duration().min(MAX_PLAIN_DURATION) + Duration::from_secs(1);
     let what = match engines.plain(call, limit, repeatable).await {
         PlainResult::Unsent => AttemptEvent::Unsent,
         PlainResult::Refused => AttemptEvent::Refused,
@@ -122,25 +122,25 @@
 
 fn plain_request(
     dispatch: &Dispatch,
-    ask: &PlainAsk,
+    plain_call: &PlainCall,
 ) -> Option<Request<http_body_util::Full<Bytes>>> {
-    let url = format!("http://{}{}", dispatch.address, ask.uri);
+    let url = format!("http://{}{}", dispatch.address, plain_call.uri);
     let mut head = Request::builder()
-        .method(ask.method.clone())
+        .method(plain_call.method.clone())
         .uri(url)
         .header(REQUEST_HEADER, dispatch.request.to_string())
         .header(PRIORITY_HEADER, dispatch.priority.to_string())
         .header(DEADLINE_HEADER, dispatch.left.get().to_string());
-    if let Some(media) = &ask.media {
+    if let Some(media) = &plain_call.media {
         head = head.header("content-type", media);
     }
-    if let Some(key) = &ask.key {
+    if let Some(key) = &plain_call.key {
         head = head.header("idempotency-key", key);
     }
-    finish(head, ask.body.clone()).ok()
+    finish(head, plain_call.body.clone()).ok()
 }
 
-/// The media type of a plain answer.
+/// Returns the media type of a plain service's answer.
 pub(crate) fn media_of(answer: &Response<Bytes>) -> String {
     let value = answer.headers().get("content-type");
     let text = value.and_then(|v| v.to_str().ok());
--- a/crates/thistlesill-router/tests/openai.rs
+++ b/crates/thistlesill-router/tests/openai.rs
@@ -1,4 +1,4 @@
-//! Reading completion requests of callers, good and bad.
+//! Parsing of callers' completion requests, valid and invalid.
 
 use thistlesill_core::RequestId;
 use thistlesill_fakes::seeded;
@@ -37,8 +37,8 @@
     for dialect in [Dialect::Chat, Dialect::Text] {
         let body = r#"{"model": "m", "prompt": "p", "messages": [{"role": "user"}]}"#;
         let completion = parse(dialect, body.as_bytes()).expect("a sound body");
-        let whole = completion.whole(RequestId::new(1), "said", 1, "stop");
-        assert_eq!(completion.text_of(&whole).as_deref(), Some("said"));
+        let answer = completion.complete_answer(RequestId::new(1), "said", 1, "stop");
+        assert_eq!(completion.answer_text(&answer).as_deref(), Some("said"));
     }
 }
 
