--- a/crates/thistlesill-edge/src/state.rs
+++ b/crates/thistlesill-edge/src/state.rs
@@ -437,12 +437,12 @@
     /// Notes a first attempt at a service.
     pub(crate) fn earn_retry(&self, service: &ServiceName) {
         let part = self.settings.borrow().bounds.retry_ratio * RATIO_USED;
-        self.with_budget(service, |budget| budget.earn_part(part));
+        self.with_budget(service, |budget| budget.deposit(part));
     }
 
     /// Takes a retry out of the daemon's part of the service's budget.
     pub(crate) fn spend_retry(&self, service: &ServiceName) -> bool {
-        let spent = self.with_budget(service, RetryBudget::spend);
+        let spent = self.with_budget(service, RetryBudget::withdraw);
         if !spent {
             metrics::counter!("thistlesill_edge_retries_denied_total").increment(1);
         }
@@ -464,8 +464,8 @@
         let mut retries = self.retries.borrow_mut();
         let budget = retries
             .entry(service.clone())
-            .or_insert_with(|| RetryBudget::saving(most));
-        budget.cap(most);
+            .or_insert_with(|| RetryBudget::with_capacity(most));
+        budget.set_capacity(most);
         step(budget)
     }
 
--- a/crates/thistlesill-policy/src/budget.rs
+++ b/crates/thistlesill-policy/src/budget.rs
@@ -33,7 +33,7 @@
 impl RetryBudget {
     /// Creates a budget of up to `capacity` retries. It starts half full, so that a daemon that
     /// restarts again and again does not add `capacity` each time.
-    pub const fn saving(capacity: f64) -> Self {
+    pub const fn with_capacity(capacity: f64) -> Self {
         Self {
             tokens: capacity / 2.0,
             capacity,
@@ -41,18 +41,18 @@
     }
 
     /// Changes the capacity, as daemons come and go.
-    pub const fn cap(&mut self, capacity: f64) {
+    pub const fn set_capacity(&mut self, capacity: f64) {
         self.capacity = capacity;
         self.tokens = self.tokens.min(capacity);
     }
 
     /// Adds `percent` hundredths of a retry, for a first attempt.
-    pub fn earn(&mut self, percent: u32) {
-        self.earn_part(f64::from(percent) / 100.0);
+    pub fn deposit_percent(&mut self, percent: u32) {
+        self.deposit(f64::from(percent) / 100.0);
     }
 
     /// Adds `part` of a retry, for a first attempt.
-    pub const fn earn_part(&mut self, part: f64) {
+    pub const fn deposit(&mut self, part: f64) {
         self.tokens = (self.tokens + part).min(self.capacity);
     }
 
@@ -62,7 +62,7 @@
     }
 
     /// Takes a retry out of the budget; returns whether there was one.
-    pub fn spend(&mut self) -> bool {
+    pub fn withdraw(&mut self) -> bool {
         if !self.has_retry() {
             return false;
         }
--- a/crates/thistlesill-policy/src/pick.rs
+++ b/crates/thistlesill-policy/src/pick.rs
@@ -34,7 +34,7 @@
 /// Rule for picking a group. Production uses the default; the others are baselines for comparison.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Rule {
+pub enum PickRule {
     /// The lowest expected wait by corrected load, among a random sample.
     #[default]
     Corrected,
@@ -46,7 +46,7 @@
     RoundRobin,
 }
 
-/// Number of groups drawn by [`Rule::Corrected`].
+/// Number of groups drawn by [`PickRule::Corrected`].
 const SAMPLE_SIZE: usize = 4;
 
 /// Load of one group, estimated from its reports and the router's own requests.
@@ -212,12 +212,12 @@
 #[derive(Debug, Clone, Copy)]
 pub struct PickContext {
     /// Rule to apply.
-    pub rule: Rule,
+    pub rule: PickRule,
     /// Hash of the beginning of the request's prompt.
     pub prefix: Option<u64>,
     /// Current time.
     pub now: Millis,
-    /// Number of picks so far, for [`Rule::RoundRobin`].
+    /// Number of picks so far, for [`PickRule::RoundRobin`].
     pub pick_count: u64,
 }
 
@@ -231,13 +231,13 @@
         return None;
     }
     let chosen = match context.rule {
-        Rule::RoundRobin => candidates.get(context.pick_count as usize % candidates.len()),
-        Rule::LeastReported => candidates.iter().min_by_key(|c| c.load.reported()),
-        Rule::TwoReported => {
+        PickRule::RoundRobin => candidates.get(context.pick_count as usize % candidates.len()),
+        PickRule::LeastReported => candidates.iter().min_by_key(|c| c.load.reported()),
+        PickRule::TwoReported => {
             let sample = draw_sample(candidates, 2, rng);
             sample.into_iter().min_by_key(|c| c.load.reported())
         }
-        Rule::Corrected => least_wait(candidates, context, rng),
+        PickRule::Corrected => least_wait(candidates, context, rng),
     };
     chosen.map(|c| c.index)
 }
--- a/crates/thistlesill-policy/src/router.rs
+++ b/crates/thistlesill-policy/src/router.rs
@@ -23,7 +23,7 @@
 
 pub use self::core::{RouterCore, Status};
 pub use self::request::GroupUsage;
-use crate::pick::Rule;
+use crate::pick::PickRule;
 use crate::serving::GroupKey;
 
 /// Configuration of a [`RouterCore`], fixed for its lifetime.
@@ -36,17 +36,17 @@
     /// Hall that the router runs in; groups in the same hall are preferred.
     pub hall: HallId,
     /// Maximum number of requests in the queue.
-    pub waiting: usize,
+    pub max_waiting: usize,
     /// How long requests are still accepted after the health check starts to fail, so that the load
     /// balancer can notice.
-    pub balancer: Millis,
+    pub balancer_grace: Millis,
     /// Maximum time to wait for requests under way when the router stops, after the balancer's
     /// time.
-    pub stop: Millis,
+    pub stop_timeout: Millis,
     /// Seed of the random source for picks and backoff.
     pub seed: u64,
     /// Rule by which groups are picked.
-    pub rule: Rule,
+    pub rule: PickRule,
 }
 
 /// Model or service that a request is addressed to.
@@ -154,11 +154,11 @@
     /// The caller disconnected.
     CallerGone(RequestId),
     /// A watcher's heartbeat was received.
-    Beat {
+    Heartbeat {
         /// Sending watcher.
         from: NodeId,
         /// Heartbeat with the watcher's changed sightings.
-        beat: Heartbeat,
+        heartbeat: Heartbeat,
         /// Local wall clock minus the sender's, in milliseconds.
         lag: i64,
     },
@@ -319,13 +319,13 @@
         keys: Vec<RowKey>,
     },
     /// Ask a watcher for its full view.
-    AskDigest(NodeId),
+    RequestDigest(NodeId),
     /// Send the usage of this router to the other routers.
-    TellUsage(Usage),
+    SendUsage(Usage),
     /// Send losses and verdicts on requests that crash their groups to the other routers.
-    TellFatal(Fatal),
+    SendFatal(Fatal),
     /// Publish the settings in force, and send their revision to all peers.
-    TellHead(u64),
+    SendHead(u64),
     /// Record an event on the time line.
     Note(TimelineEvent),
     /// Stopping is complete; the daemon may exit.
--- a/crates/thistlesill-policy/src/router/core/attempts.rs
+++ b/crates/thistlesill-policy/src/router/core/attempts.rs
@@ -248,7 +248,7 @@
             self.fail(id, kind, None, now);
             return;
         }
-        if !self.budget.spend() {
+        if !self.budget.withdraw() {
             let spent = if request.may_have_run {
                 kind
             } else {
--- a/crates/thistlesill-policy/src/router/core/fatal.rs
+++ b/crates/thistlesill-policy/src/router/core/fatal.rs
@@ -109,7 +109,7 @@
     pub(super) fn send_fatal(&mut self) {
         if !self.unsent_fatal.is_empty() {
             let fatal = std::mem::take(&mut self.unsent_fatal);
-            self.out.push(RouterAction::TellFatal(fatal));
+            self.out.push(RouterAction::SendFatal(fatal));
         }
     }
 }
--- a/crates/thistlesill-policy/src/router/core/presence.rs
+++ b/crates/thistlesill-policy/src/router/core/presence.rs
@@ -36,13 +36,13 @@
         self.tree = Some(tree);
         self.refresh_slots();
         self.note(TimelineEvent::SettingsInForce { revision });
-        self.out.push(RouterAction::TellHead(revision));
+        self.out.push(RouterAction::SendHead(revision));
     }
 
     pub(super) fn handle_beat(&mut self, from: &NodeId, beat: &Heartbeat, lag: i64, now: Millis) {
         match self.view.beat(from, beat, lag, now) {
             Heard::Stale => return,
-            Heard::AskDigest => self.out.push(RouterAction::AskDigest(from.clone())),
+            Heard::AskDigest => self.out.push(RouterAction::RequestDigest(from.clone())),
             Heard::Fine => {}
         }
         for gauge in &beat.gauges {
--- a/crates/thistlesill-policy/src/router/core/sending.rs
+++ b/crates/thistlesill-policy/src/router/core/sending.rs
@@ -94,7 +94,7 @@
         let plan = dispatch::build(request, &server, now);
         request.attempt_count += 1;
         if request.attempt_count == 1 {
-            self.budget.earn(request.policy.retry_percent);
+            self.budget.deposit_percent(request.policy.retry_percent);
             self.status.firsts += 1;
         }
         request.assembly.restart();
--- a/crates/thistlesill-policy/src/router/core/time.rs
+++ b/crates/thistlesill-policy/src/router/core/time.rs
@@ -34,13 +34,13 @@
         if now - self.last_usage_sent >= USAGE_INTERVAL {
             self.last_usage_sent = now;
             let usage = self.queue.usage();
-            self.out.push(RouterAction::TellUsage(usage));
+            self.out.push(RouterAction::SendUsage(usage));
         }
         self.collect_verdicts(now);
         let Some(tree) = &self.tree else { return };
         if now - self.last_head_sent >= HEAD_INTERVAL {
             self.last_head_sent = now;
-            self.out.push(RouterAction::TellHead(tree.revision()));
+            self.out.push(RouterAction::SendHead(tree.revision()));
         }
     }
 
--- a/crates/thistlesill-policy/src/router/dispatch.rs
+++ b/crates/thistlesill-policy/src/router/dispatch.rs
@@ -7,7 +7,7 @@
 
 use super::request::Request;
 use super::{Dispatch, Mode, Wanted};
-use crate::pick::{Candidate, GroupLoad, PickContext, Rule, pick};
+use crate::pick::{Candidate, GroupLoad, PickContext, PickRule, pick};
 use crate::serving::{GroupKey, Roster, Runs, Server};
 
 /// Result of selecting a server.
@@ -28,7 +28,7 @@
     pub(super) roster: &'a Roster,
     pub(super) loads: &'a BTreeMap<GroupKey, GroupLoad>,
     pub(super) hall: &'a HallId,
-    pub(super) rule: Rule,
+    pub(super) rule: PickRule,
     pub(super) pick_count: u64,
     pub(super) now: Millis,
 }
--- a/crates/thistlesill-policy/tests/answers.rs
+++ b/crates/thistlesill-policy/tests/answers.rs
@@ -10,7 +10,7 @@
 use thistlesill_core::settings::{Branch, Tree};
 use thistlesill_core::{ErrorKind, Millis, RequestId};
 use thistlesill_fakes::seeded;
-use thistlesill_policy::pick::Rule;
+use thistlesill_policy::pick::PickRule;
 use thistlesill_policy::router::{
     Arrival, AttemptEvent, Dispatch, Ending, Mode, RouterAction, RouterCore, RouterEvent,
     RouterOptions, Wanted,
@@ -49,11 +49,11 @@
         name: "r0".into(),
         region: "r".into(),
         hall: "h".into(),
-        waiting: 10,
-        balancer: Millis::new(100),
-        stop: Millis::new(1_000),
+        max_waiting: 10,
+        balancer_grace: Millis::new(100),
+        stop_timeout: Millis::new(1_000),
         seed: 1,
-        rule: Rule::default(),
+        rule: PickRule::default(),
     };
     let root = Branch {
         model: Some("m".into()),
@@ -73,9 +73,9 @@
         changed: (0..2).map(sighting).collect(),
         gauges: Vec::new(),
     };
-    let event = RouterEvent::Beat {
+    let event = RouterEvent::Heartbeat {
         from: "w".into(),
-        beat,
+        heartbeat: beat,
         lag: 0,
     };
     core.step(event, NOW);
--- a/crates/thistlesill-policy/tests/load.rs
+++ b/crates/thistlesill-policy/tests/load.rs
@@ -8,7 +8,7 @@
 use thistlesill_policy::charts::{Charts, DrainState};
 use thistlesill_policy::drain::Drain;
 use thistlesill_policy::limit::AdaptiveLimit;
-use thistlesill_policy::pick::{Candidate, GroupLoad, PickContext, Rule, pick};
+use thistlesill_policy::pick::{Candidate, GroupLoad, PickContext, PickRule, pick};
 use thistlesill_policy::prefix::PrefixHints;
 use thistlesill_policy::share::{Admission, FairQueue, QueueEntry};
 
@@ -29,8 +29,8 @@
     let mut budget = RetryBudget::default();
     let mut retries = 0;
     for _ in 0..1_000 {
-        budget.earn(20);
-        retries += u32::from(budget.spend());
+        budget.deposit_percent(20);
+        retries += u32::from(budget.withdraw());
     }
     assert!((200..=211).contains(&retries), "{retries}");
 }
@@ -175,14 +175,14 @@
         })
         .collect();
     let mut context = PickContext {
-        rule: Rule::Corrected,
+        rule: PickRule::Corrected,
         prefix: None,
         now: NOW,
         pick_count: 0,
     };
     let mut rng = StdRng::seed_from_u64(1);
     assert_eq!(pick(&list, &context, &mut rng), Some(1));
-    context.rule = Rule::LeastReported;
+    context.rule = PickRule::LeastReported;
     assert_eq!(
         pick(&list, &context, &mut rng),
         Some(0),
--- a/crates/thistlesill-replay/src/compare.rs
+++ b/crates/thistlesill-replay/src/compare.rs
@@ -1,6 +1,6 @@
 //! The shipped decisions beside the baselines, as a table.
 
-use thistlesill_policy::pick::Rule;
+use thistlesill_policy::pick::PickRule;
 use thistlesill_policy::plan::Strategy;
 
 use crate::measure::Measures;
@@ -24,7 +24,7 @@
         ("rebuild from scratch", Strategy::Rebuild),
     ];
     let decisions = |(name, strategy)| {
-        let rule = Rule::default();
+        let rule = PickRule::default();
         (name, Decisions { strategy, rule })
     };
     play_all(loaded, &list.map(decisions))
@@ -33,10 +33,10 @@
 /// Plays a trace with each rule of picking.
 pub fn rules(loaded: &Loaded) -> Vec<Compared> {
     let list = [
-        ("corrected (shipped)", Rule::Corrected),
-        ("least reported", Rule::LeastReported),
-        ("random of two", Rule::TwoReported),
-        ("round robin", Rule::RoundRobin),
+        ("corrected (shipped)", PickRule::Corrected),
+        ("least reported", PickRule::LeastReported),
+        ("random of two", PickRule::TwoReported),
+        ("round robin", PickRule::RoundRobin),
     ];
     let decisions = |(name, rule)| {
         let strategy = Strategy::default();
--- a/crates/thistlesill-replay/src/player.rs
+++ b/crates/thistlesill-replay/src/player.rs
@@ -6,7 +6,7 @@
 use rand::{RngExt, SeedableRng};
 use thistlesill_core::settings::Tree;
 use thistlesill_core::{Millis, RequestId};
-use thistlesill_policy::pick::Rule;
+use thistlesill_policy::pick::PickRule;
 use thistlesill_policy::plan::Strategy;
 use thistlesill_policy::router::{Arrival, Wanted};
 
@@ -20,7 +20,7 @@
     /// How groups are formed.
     pub strategy: Strategy,
     /// How groups are picked.
-    pub rule: Rule,
+    pub rule: PickRule,
 }
 
 /// Plays a trace to its end and measures it.
--- a/crates/thistlesill-replay/src/slopes/cores.rs
+++ b/crates/thistlesill-replay/src/slopes/cores.rs
@@ -7,7 +7,7 @@
 use thistlesill_core::report::{Duty, ListedInstance, Load, Membership, Pressure, Report};
 use thistlesill_core::settings::{Branch, Shape, Tree};
 use thistlesill_core::{InstanceId, Millis, RequestId};
-use thistlesill_policy::pick::Rule;
+use thistlesill_policy::pick::PickRule;
 use thistlesill_policy::placement::{Existing, Free, Pool, PoolKey, Want, place};
 use thistlesill_policy::presence::{View, Watch, WatchPeriods};
 use thistlesill_policy::router::{
@@ -180,19 +180,19 @@
         name: "r0".into(),
         region: "r".into(),
         hall: "hall".into(),
-        waiting: 512,
-        balancer: Millis::new(3_000),
-        stop: Millis::new(60_000),
+        max_waiting: 512,
+        balancer_grace: Millis::new(3_000),
+        stop_timeout: Millis::new(60_000),
         seed: 1,
-        rule: Rule::default(),
+        rule: PickRule::default(),
     };
     let mut core = RouterCore::new(options).expect("sound charts");
     core.step(RouterEvent::Settings(tree()), NOW);
     for watcher in ["p0", "p1", "p2"] {
         let all: Vec<Sighting> = (0..groups * MEMBERS).map(sighting).collect();
-        let event = RouterEvent::Beat {
+        let event = RouterEvent::Heartbeat {
             from: watcher.into(),
-            beat: beat(1, all.len() as u64, all),
+            heartbeat: beat(1, all.len() as u64, all),
             lag: 0,
         };
         core.step(event, NOW);
--- a/crates/thistlesill-replay/src/stage.rs
+++ b/crates/thistlesill-replay/src/stage.rs
@@ -21,7 +21,7 @@
 use thistlesill_core::timeline::Record;
 use thistlesill_core::{HallId, InstanceId, Millis, NodeId, RegionId};
 use thistlesill_fakes::{Table, Target};
-use thistlesill_policy::pick::Rule;
+use thistlesill_policy::pick::PickRule;
 use thistlesill_policy::plan::Strategy;
 use thistlesill_policy::planner::{PlannerCore, PlannerOptions};
 use thistlesill_policy::presence::Watcher;
@@ -80,7 +80,7 @@
     /// How groups are formed.
     pub strategy: Strategy,
     /// How groups are picked.
-    pub rule: Rule,
+    pub rule: PickRule,
     /// How engines behave.
     pub model: EngineModel,
     /// Seed of all random sources.
@@ -252,9 +252,9 @@
             name: me.name.clone(),
             region: self.options.region.clone(),
             hall: me.hall.clone(),
-            waiting: 512,
-            balancer: Millis::new(3_000),
-            stop: Millis::new(120_000),
+            max_waiting: 512,
+            balancer_grace: Millis::new(3_000),
+            stop_timeout: Millis::new(120_000),
             seed: self.options.seed + n as u64,
             rule: self.options.rule,
         })
--- a/crates/thistlesill-replay/src/stage/daemons.rs
+++ b/crates/thistlesill-replay/src/stage/daemons.rs
@@ -86,21 +86,21 @@
                 let rows = self.read(keys);
                 self.router_step(n, RouterEvent::RowsRead { flight, rows });
             }
-            RouterAction::AskDigest(to) => {
+            RouterAction::RequestDigest(to) => {
                 let from = self.routers[n].seat.name.clone();
                 let planner = self.planners.iter().position(|p| p.seat.name == to);
                 if let Some(p) = planner.filter(|p| !self.planners[*p].cut) {
                     self.deliver_to_planner(p, Mail::Want(from));
                 }
             }
-            RouterAction::TellUsage(usage) => {
+            RouterAction::SendUsage(usage) => {
                 let from = self.routers[n].seat.name.clone();
                 for other in (0..self.routers.len()).filter(|o| *o != n) {
                     let mail = Mail::Usage(from.clone(), usage.clone());
                     self.deliver_to_router(other, mail);
                 }
             }
-            RouterAction::TellFatal(told) => {
+            RouterAction::SendFatal(told) => {
                 for other in (0..self.routers.len()).filter(|o| *o != n) {
                     self.deliver_to_router(other, Mail::Fatal(told.clone()));
                 }
@@ -113,7 +113,7 @@
                 self.note_request(&what);
                 self.records.push(Record { stamp, node, what });
             }
-            RouterAction::TellHead(_) | RouterAction::Exit => {}
+            RouterAction::SendHead(_) | RouterAction::Exit => {}
             other => self.request_act(n, other),
         }
     }
--- a/crates/thistlesill-replay/src/stage/mail.rs
+++ b/crates/thistlesill-replay/src/stage/mail.rs
@@ -81,9 +81,9 @@
         for mail in std::mem::take(&mut self.routers[n].inbox) {
             let lag = |sent: Millis| (self.now - sent).get().cast_signed();
             let event = match mail {
-                Mail::Beat(from, beat, sent) => RouterEvent::Beat {
+                Mail::Beat(from, beat, sent) => RouterEvent::Heartbeat {
                     from,
-                    beat,
+                    heartbeat: beat,
                     lag: lag(sent),
                 },
                 Mail::Digest(from, part, sent) => RouterEvent::Digest {
--- a/crates/thistlesill-replay/tests/it/settings.rs
+++ b/crates/thistlesill-replay/tests/it/settings.rs
@@ -2,7 +2,7 @@
 
 use thistlesill_core::Millis;
 use thistlesill_core::timeline::TimelineEvent;
-use thistlesill_policy::pick::Rule;
+use thistlesill_policy::pick::PickRule;
 use thistlesill_policy::router::{RouterCore, RouterEvent, RouterOptions};
 use thistlesill_replay::stage::Power;
 
@@ -48,11 +48,11 @@
         name: "r9".into(),
         region: "r".into(),
         hall: "h".into(),
-        waiting: 1,
-        balancer: Millis::ZERO,
-        stop: Millis::ZERO,
+        max_waiting: 1,
+        balancer_grace: Millis::ZERO,
+        stop_timeout: Millis::ZERO,
         seed: 1,
-        rule: Rule::default(),
+        rule: PickRule::default(),
     };
     let mut core = RouterCore::new(options).expect("sound charts");
     assert!(!core.is_ready());
--- a/crates/thistlesill-replay/tests/it/support.rs
+++ b/crates/thistlesill-replay/tests/it/support.rs
@@ -8,7 +8,7 @@
 use thistlesill_core::settings::{Branch, Cover, Shape, Tree};
 use thistlesill_core::timeline::TimelineEvent;
 use thistlesill_core::{GroupId, Millis, RequestId};
-use thistlesill_policy::pick::Rule;
+use thistlesill_policy::pick::PickRule;
 use thistlesill_policy::plan::Strategy;
 use thistlesill_policy::router::{Arrival, Wanted};
 use thistlesill_replay::stage::{EngineModel, Seat, Stage, StageOptions};
@@ -82,7 +82,7 @@
         routers: vec![Seat::new("r0", "h"), Seat::new("r1", "h")],
         checks: true,
         strategy: Strategy::default(),
-        rule: Rule::default(),
+        rule: PickRule::default(),
         model: EngineModel {
             load: Millis::new(2_000),
             ..EngineModel::default()
--- a/crates/thistlesill-router/src/daemon.rs
+++ b/crates/thistlesill-router/src/daemon.rs
@@ -23,7 +23,7 @@
 use thistlesill_net::journal::Journal;
 use thistlesill_net::peer::{Heard, PeerError, PeerLink};
 use thistlesill_net::platform::Platform;
-use thistlesill_policy::pick::Rule;
+use thistlesill_policy::pick::PickRule;
 use thistlesill_policy::router::{
     Arrival, AttemptEvent, Dispatch, Ending, RouterAction, RouterCore, RouterEvent, RouterOptions,
 };
@@ -180,11 +180,11 @@
         name: config.name.clone(),
         region: config.region.clone(),
         hall: config.hall.clone(),
-        waiting: config.limits.waiting,
-        balancer: Millis::new(config.periods.balancer_ms),
-        stop: Millis::new(config.periods.stop_ms),
+        max_waiting: config.limits.waiting,
+        balancer_grace: Millis::new(config.periods.balancer_ms),
+        stop_timeout: Millis::new(config.periods.stop_ms),
         seed: rand::rng().random(),
-        rule: Rule::default(),
+        rule: PickRule::default(),
     }
 }
 
@@ -280,7 +280,11 @@
     fn handle_message(&mut self, message: Heard) {
         let Heard { from, lag, body } = message;
         match body {
-            PeerBody::Beat(beat) => self.step(RouterEvent::Beat { from, beat, lag }),
+            PeerBody::Beat(beat) => self.step(RouterEvent::Heartbeat {
+                from,
+                heartbeat: beat,
+                lag,
+            }),
             PeerBody::Digest(part) => self.step(RouterEvent::Digest { from, part, lag }),
             PeerBody::Usage(usage) => self.step(RouterEvent::Usage { from, usage }),
             PeerBody::Fatal(fatal) => self.step(RouterEvent::Fatal(fatal)),
@@ -339,19 +343,19 @@
                     drop(events.send(LoopEvent::Core(Box::new(event))));
                 });
             }
-            RouterAction::AskDigest(to) => {
+            RouterAction::RequestDigest(to) => {
                 let peers = self.config.peers.iter().filter(|p| p.name == to);
                 self.link.tell(peers, PeerBody::Want);
             }
-            RouterAction::TellUsage(usage) => {
+            RouterAction::SendUsage(usage) => {
                 let routers = self.config.peers.iter().filter(|p| p.role == Role::Router);
                 self.link.tell(routers, PeerBody::Usage(usage));
             }
-            RouterAction::TellFatal(fatal) => {
+            RouterAction::SendFatal(fatal) => {
                 let routers = self.config.peers.iter().filter(|p| p.role == Role::Router);
                 self.link.tell(routers, PeerBody::Fatal(fatal));
             }
-            RouterAction::TellHead(revision) => {
+            RouterAction::SendHead(revision) => {
                 if let Some(tree) = self.core.tree() {
                     self.feed.shelf.put(tree);
                 }
