--- a/crates/thistlesill-policy/src/router/core.rs
+++ b/crates/thistlesill-policy/src/router/core.rs
@@ -223,9 +223,9 @@
             RouterEvent::CallerGone(request) => self.handle_caller_gone(request, now),
             RouterEvent::Heartbeat {
                 from,
-                heartbeat: beat,
+                heartbeat,
                 lag,
-            } => self.handle_beat(&from, &beat, lag, now),
+            } => self.handle_heartbeat(&from, &heartbeat, lag, now),
             RouterEvent::Digest { from, part, lag } => self.handle_digest(&from, &part, lag, now),
             RouterEvent::Usage { from, usage } => self.queue.receive_usage(&from, usage, now),
             RouterEvent::Fatal(received) => self.receive_fatal(&received, now),
--- a/crates/thistlesill-policy/src/router/core/presence.rs
+++ b/crates/thistlesill-policy/src/router/core/presence.rs
@@ -39,13 +39,19 @@
         self.out.push(RouterAction::SendHead(revision));
     }
 
-    pub(super) fn handle_beat(&mut self, from: &NodeId, beat: &Heartbeat, lag: i64, now: Millis) {
-        match self.view.beat(from, beat, lag, now) {
+    pub(super) fn handle_heartbeat(
+        &mut self,
+        from: &NodeId,
+        heartbeat: &Heartbeat,
+        lag: i64,
+        now: Millis,
+    ) {
+        match self.view.beat(from, heartbeat, lag, now) {
             Heard::Stale => return,
             Heard::AskDigest => self.out.push(RouterAction::RequestDigest(from.clone())),
             Heard::Fine => {}
         }
-        for gauge in &beat.gauges {
+        for gauge in &heartbeat.gauges {
             let age = self.view.gauge_age(from, gauge, now);
             let servers = self.roster.servers.iter();
             let Some(server) = servers.into_iter().find(|s| *s.leader() == gauge.instance) else {
@@ -56,7 +62,7 @@
                 load.apply_cache_events(&gauge.cache, now);
             }
         }
-        if !beat.changed.is_empty() {
+        if !heartbeat.changed.is_empty() {
             self.update_roster(now);
         }
         self.send_waiting(now);
