--- a/crates/thistlesill-policy/src/pick.rs
+++ b/crates/thistlesill-policy/src/pick.rs
@@ -174,8 +174,8 @@
 
     /// Returns the expected wait for the first token, in milliseconds.
     ///
-    /// `same_hall` is whether the group is in the router's own hall, and `mean` the average slowness of
-    /// the candidates.
+    /// `same_hall` is whether the group is in the router's own hall, and `mean` the average slowness
+    /// of the candidates.
     pub fn expected_wait(
         &self,
         prefix: Option<u64>,
@@ -276,8 +276,8 @@
     if candidates.len() <= count {
         return candidates.iter().collect();
     }
-    let place = |_| rng.random_range(0..candidates.len());
-    (0..count).map(place).map(|i| &candidates[i]).collect()
+    let index = |_| rng.random_range(0..candidates.len());
+    (0..count).map(index).map(|i| &candidates[i]).collect()
 }
 
 fn push_recent(list: &mut VecDeque<Millis>, now: Millis) {
--- a/crates/thistlesill-policy/src/router.rs
+++ b/crates/thistlesill-policy/src/router.rs
@@ -1,7 +1,7 @@
 //! Routing decisions: one step per event, from a caller's request to its final answer.
 //!
-//! The core holds no response bodies and does no I/O: the daemon around it keeps the bodies and
-//! carries out the sends that the core asks for.
+//! The core does no I/O, and holds no bodies of requests or plain answers: the daemon around it
+//! keeps these and carries out the sends that the core asks for.
 
 mod core;
 mod dispatch;
--- a/crates/thistlesill-policy/src/router/core.rs
+++ b/crates/thistlesill-policy/src/router/core.rs
@@ -54,7 +54,8 @@
 /// How long a request waits for a complete group before it fails with `NoGroup`: about as long as
 /// presence takes to follow a planned change.
 const NO_GROUP_TIMEOUT: Millis = Millis::new(3_000);
-/// Waits up to this time do not count: the interval between two checks of the queue.
+/// Shorter waits do not count as queueing: they come from the time between two checks of the
+/// queue.
 const MIN_QUEUE_WAIT: Millis = Millis::new(100);
 /// Weight of a new observation in the moving average of the answer time.
 const SERVICE_TIME_WEIGHT: f64 = 0.05;
--- a/crates/thistlesill-policy/src/router/core/admission.rs
+++ b/crates/thistlesill-policy/src/router/core/admission.rs
@@ -158,11 +158,11 @@
         Millis::new(self.mean_service_ms as u64)
     }
 
-    /// Returns when a rejected caller should retry: the approximate time to empty the queue, at 500
-    /// ms per round of all slots and 10 s at most.
+    /// Returns when a rejected caller should retry: the approximate time to empty the queue, at
+    /// 500 ms for every batch that fits the groups' limits, and 10 s at most.
     pub(super) fn retry_after(&self) -> Millis {
-        let room: u32 = self.loads.values().map(GroupLoad::limit).sum();
-        let rounds = self.queue.len() as u64 / u64::from(room.max(1)) + 1;
+        let slots: u32 = self.loads.values().map(GroupLoad::limit).sum();
+        let rounds = self.queue.len() as u64 / u64::from(slots.max(1)) + 1;
         Millis::new((rounds * 500).min(10_000))
     }
 }
--- a/crates/thistlesill-policy/tests/answers.rs
+++ b/crates/thistlesill-policy/tests/answers.rs
@@ -62,10 +62,10 @@
         presence_ms: Some(60_000),
         ..Branch::default()
     };
-    let mut core = RouterCore::new(options).expect("sound charts");
+    let mut core = RouterCore::new(options).expect("valid charts");
     let tree = Tree::new(1, [("/".to_owned(), root)].into());
     core.step(RouterEvent::Settings(Arc::new(tree)), NOW);
-    let beat = Heartbeat {
+    let heartbeat = Heartbeat {
         seq: 1,
         run: 1,
         oldest: Millis::ZERO,
@@ -75,7 +75,7 @@
     };
     let event = RouterEvent::Heartbeat {
         from: "w".into(),
-        heartbeat: beat,
+        heartbeat,
         lag: 0,
     };
     core.step(event, NOW);
@@ -209,7 +209,7 @@
     let mut session = Session::begin(true);
     session.attempt(1, session.piece(0));
     session.attempt(1, session.end(3));
-    assert!(session.endings.is_empty(), "not whole yet");
+    assert!(session.endings.is_empty(), "pieces are still missing");
     session.attempt(1, session.piece(2));
     session.attempt(1, session.piece(1));
     assert_eq!(session.offsets(), vec![0, 1, 2]);
--- a/crates/thistlesill-policy/tests/load.rs
+++ b/crates/thistlesill-policy/tests/load.rs
@@ -88,7 +88,11 @@
     queue.receive_usage(&"r1".into(), other.usage(), NOW);
     assert_eq!(queue.order(NOW)[0], "b".into());
     let later = NOW + Millis::new(5_000);
-    assert_eq!(queue.order(later)[0], "a".into(), "old news does not count");
+    assert_eq!(
+        queue.order(later)[0],
+        "a".into(),
+        "expired usage does not count"
+    );
 }
 
 #[test]
@@ -186,7 +190,7 @@
     assert_eq!(
         pick(&list, &context, &mut rng),
         Some(0),
-        "the baseline herds"
+        "the baseline ignores requests sent since the report"
     );
 }
 
@@ -205,7 +209,7 @@
     hints.apply_events(&[event(5, 11)], NOW);
     assert!(
         !hints.is_cached(10, soon),
-        "what was before a gap is trusted less"
+        "hints older than a gap expire sooner"
     );
     assert!(hints.is_cached(11, soon));
     assert!(!hints.is_cached(11, NOW + Millis::new(61_000)));
@@ -213,7 +217,7 @@
 
 #[test]
 fn drain_fails_health_then_closes_then_ends() {
-    let charts = Charts::load().expect("sound charts");
+    let charts = Charts::load().expect("valid charts");
     let mut drain = Drain::new(charts.drain, Millis::new(100), Millis::new(1_000));
     drain.tick(NOW, 0);
     assert!(drain.healthy());
@@ -228,7 +232,7 @@
 
 #[test]
 fn drain_waits_no_longer_than_its_limit() {
-    let charts = Charts::load().expect("sound charts");
+    let charts = Charts::load().expect("valid charts");
     let mut drain = Drain::new(charts.drain, Millis::new(100), Millis::new(1_000));
     drain.stop(NOW);
     drain.tick(NOW + Millis::new(100), 1);
--- a/crates/thistlesill-router/src/daemon.rs
+++ b/crates/thistlesill-router/src/daemon.rs
@@ -280,9 +280,9 @@
     fn handle_message(&mut self, message: Heard) {
         let Heard { from, lag, body } = message;
         match body {
-            PeerBody::Beat(beat) => self.step(RouterEvent::Heartbeat {
+            PeerBody::Beat(heartbeat) => self.step(RouterEvent::Heartbeat {
                 from,
-                heartbeat: beat,
+                heartbeat,
                 lag,
             }),
             PeerBody::Digest(part) => self.step(RouterEvent::Digest { from, part, lag }),
--- a/crates/thistlesill-router/src/openai.rs
+++ b/crates/thistlesill-router/src/openai.rs
@@ -151,8 +151,8 @@
         .to_string()
     }
 
-    /// Returns the text of a complete answer made by [`Self::complete_answer`]; `None` if it cannot be
-    /// parsed.
+    /// Returns the text of a complete answer made by [`Self::complete_answer`]; `None` if it cannot
+    /// be parsed.
     pub fn answer_text(&self, answer: &str) -> Option<String> {
         let value: Value = serde_json::from_str(answer).ok()?;
         let choice = value.get("choices")?.get(0)?;
--- a/crates/thistlesill-router/src/send.rs
+++ b/crates/thistlesill-router/src/send.rs
@@ -48,13 +48,13 @@
         repeatable,
     };
     let (request, attempt) = (dispatch.request, dispatch.attempt);
-    let take = |event: StreamEvent| {
+    let forward = |event: StreamEvent| {
         let what = attempt_event(event);
         events
             .send(LoopEvent::attempt(request, attempt, what))
             .is_ok()
     };
-    engines.stream(call, take).await;
+    engines.stream(call, forward).await;
 }
 
 fn complete(completion: &Completion, body: Vec<u8>, offset: u32) -> StreamAsk {
--- a/crates/thistlesill-router/tests/openai.rs
+++ b/crates/thistlesill-router/tests/openai.rs
@@ -9,14 +9,14 @@
 
 fn refusal(body: &str) -> String {
     parse(Dialect::Chat, body.as_bytes())
-        .expect_err("a refused body")
+        .expect_err("an invalid body")
         .to_string()
 }
 
 #[test]
 fn fields_are_passed_on() {
     let body = CHAT.replace("\"stream\"", "\"temperature\": 0.5, \"stream\"");
-    let completion = parse(Dialect::Chat, body.as_bytes()).expect("a sound body");
+    let completion = parse(Dialect::Chat, body.as_bytes()).expect("a valid body");
     assert!(completion.streamed);
     let text = String::from_utf8(completion.engine_body()).expect("text");
     assert!(text.contains("\"temperature\":0.5"), "{text}");
@@ -24,7 +24,7 @@
 
 #[test]
 fn continued_body_holds_what_was_said() {
-    let completion = parse(Dialect::Chat, CHAT.as_bytes()).expect("a sound body");
+    let completion = parse(Dialect::Chat, CHAT.as_bytes()).expect("a valid body");
     let text = String::from_utf8(completion.continued_body("so far")).expect("text");
     assert!(
         text.contains(r#"{"content":"so far","role":"assistant"}"#),
@@ -36,7 +36,7 @@
 fn text_of_a_recorded_answer() {
     for dialect in [Dialect::Chat, Dialect::Text] {
         let body = r#"{"model": "m", "prompt": "p", "messages": [{"role": "user"}]}"#;
-        let completion = parse(dialect, body.as_bytes()).expect("a sound body");
+        let completion = parse(dialect, body.as_bytes()).expect("a valid body");
         let answer = completion.complete_answer(RequestId::new(1), "said", 1, "stop");
         assert_eq!(completion.answer_text(&answer).as_deref(), Some("said"));
     }
