--- a/crates/thistlesill-policy/tests/answers.rs
+++ b/crates/thistlesill-policy/tests/answers.rs
@@ -1,5 +1,5 @@
-//! Every caller gets the whole answer to its own request, once and in order,
-//! and an error never says "not run" of what may have run.
+//! Answers: each caller gets the complete answer to its own request, once and in order, and no
+//! error says "not run" of a request that may have run.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -10,7 +10,7 @@
 use thistlesill_core::settings::{Branch, Tree};
 use thistlesill_core::{ErrorKind, Millis, RequestId};
 use thistlesill_fakes::seeded;
-use thistlesill_policy::pick::Rule;
+use thistlesill_policy::pick::PickRule;
 use thistlesill_policy::router::{
     Arrival, AttemptEvent, Dispatch, Ending, Mode, RouterAction, RouterCore, RouterEvent,
     RouterOptions, Wanted,
@@ -43,17 +43,17 @@
     }
 }
 
-/// A router that sees two groups of one member each.
+/// Creates a router that sees two groups of one member each.
 fn router() -> RouterCore {
     let options = RouterOptions {
         name: "r0".into(),
         region: "r".into(),
         hall: "h".into(),
-        waiting: 10,
-        balancer: Millis::new(100),
-        stop: Millis::new(1_000),
+        max_waiting: 10,
+        balancer_grace: Millis::new(100),
+        stop_timeout: Millis::new(1_000),
         seed: 1,
-        rule: Rule::default(),
+        rule: PickRule::default(),
     };
     let root = Branch {
         model: Some("m".into()),
@@ -62,10 +62,10 @@
         presence_ms: Some(60_000),
         ..Branch::default()
     };
-    let mut core = RouterCore::new(options).expect("sound charts");
+    let mut core = RouterCore::new(options).expect("valid charts");
     let tree = Tree::new(1, [("/".to_owned(), root)].into());
     core.step(RouterEvent::Settings(Arc::new(tree)), NOW);
-    let beat = Heartbeat {
+    let heartbeat = Heartbeat {
         seq: 1,
         run: 1,
         oldest: Millis::ZERO,
@@ -73,9 +73,9 @@
         changed: (0..2).map(sighting).collect(),
         gauges: Vec::new(),
     };
-    let event = RouterEvent::Beat {
+    let event = RouterEvent::Heartbeat {
         from: "w".into(),
-        beat,
+        heartbeat,
         lag: 0,
     };
     core.step(event, NOW);
@@ -97,7 +97,7 @@
     }
 }
 
-/// A request under way, and what came back so far.
+/// A request under way and the actions that it caused.
 struct Session {
     core: RouterCore,
     now: Millis,
@@ -144,7 +144,7 @@
         });
     }
 
-    /// Lets the back-off pass.
+    /// Lets the longest backoff pass.
     fn wait(&mut self) {
         self.now = self.now + Millis::new(1_100);
         self.step(RouterEvent::Tick);
@@ -209,7 +209,7 @@
     let mut session = Session::begin(true);
     session.attempt(1, session.piece(0));
     session.attempt(1, session.end(3));
-    assert!(session.endings.is_empty(), "not whole yet");
+    assert!(session.endings.is_empty(), "pieces are still missing");
     session.attempt(1, session.piece(2));
     session.attempt(1, session.piece(1));
     assert_eq!(session.offsets(), vec![0, 1, 2]);
@@ -316,7 +316,7 @@
     let mut session = Session::begin(false);
     session.attempt(1, AttemptEvent::Broken);
     session.wait();
-    // Asked for the rest, the group cannot be reached any more.
+    // The group is asked for the rest, but can no longer be reached.
     for attempt in 2..=3 {
         session.attempt(attempt, AttemptEvent::Unsent);
         session.wait();
