--- a/crates/thistlesill-edge/src/figures.rs
+++ b/crates/thistlesill-edge/src/figures.rs
@@ -50,8 +50,8 @@
             ("model", model.model.to_string()),
         ];
         metrics::gauge!("thistlesill_edge_groups_open", &labels).set(model.open as f64);
-        metrics::gauge!("thistlesill_edge_groups_fair", &labels).set(model.fair);
-        metrics::gauge!("thistlesill_edge_work_asked", &labels).set(model.work);
+        metrics::gauge!("thistlesill_edge_groups_fair", &labels).set(model.desired);
+        metrics::gauge!("thistlesill_edge_work_asked", &labels).set(model.demand);
     }
     let labels = [("service", service)];
     let seconds = passed.get() as f64 / 1_000.0;
--- a/crates/thistlesill-edge/src/planner.rs
+++ b/crates/thistlesill-edge/src/planner.rs
@@ -15,7 +15,7 @@
 use thistlesill_policy::charts::{Charts, LeaseState};
 use thistlesill_policy::edge::admission::BALANCER;
 use thistlesill_policy::edge::fleet::{
-    Condition, Demand, FleetAction, FleetPlanner, FleetView, room,
+    Demand, FleetAction, FleetPlanner, FleetView, ProbeOutcome, capacity_ratio,
 };
 use thistlesill_policy::lease::{Lease, LeaseNews, LeasePeriods, LeaseStep};
 
@@ -248,7 +248,7 @@
     ) -> (Vec<TargetId>, Option<Vec<GroupRef>>) {
         let edge = &self.edge;
         let stalled = self.stalled(now);
-        let calm = !edge.busy.get() && !edge.peers.borrow().any_busy();
+        let before_traffic = !edge.busy.get() && !edge.peers.borrow().any_busy();
         let slow = self.slow(now);
         let working = self.working(now);
         let requests = edge.loads.borrow().requests(now);
@@ -275,15 +275,15 @@
                 working: &working,
                 requests: &requests,
                 demand: &demand,
-                rooms: &rooms,
+                capacity_ratios: &rooms,
                 evacuated: &evacuations.known().halls,
                 term,
                 wall: Clock::wall(),
-                calm,
+                before_traffic,
             };
             let actions = fleet.step(&view, now);
             self.note_census(&service.name, fleet, &view, now);
-            dead.extend(fleet.broken(targets));
+            dead.extend(fleet.broken_targets(targets));
             late = add_late_joins(late, fleet, now);
             drop(fleets);
             for action in actions {
@@ -356,7 +356,7 @@
         let room = |(id, limit): (TargetId, RateLimit)| {
             let model = targets.get(&id)?.model()?;
             let each = asked.each(service, model)?;
-            Some((id, room(limit, each)))
+            Some((id, capacity_ratio(limit, each)))
         };
         let limits = self.edge.limits.limits();
         limits.into_iter().filter_map(room).collect()
@@ -395,19 +395,19 @@
         let (planner, service) = (self.clone(), service.clone());
         tokio::task::spawn_local(async move {
             match action {
-                FleetAction::Give {
+                FleetAction::SendOrder {
                     target,
                     address,
                     order,
-                    why,
+                    reason,
                 } => {
                     if planner.lease.borrow().term(planner.edge.now()).is_none() {
                         return;
                     }
                     let reply = engine::give(&target, address, &order, within(ORDER)).await;
-                    planner.note_order(&target, &order, &format!("{reply:?}"), why);
+                    planner.note_order(&target, &order, &format!("{reply:?}"), reason);
                     planner.with_fleet(&service, |fleet, now| {
-                        fleet.answered(&target, &order, reply, now);
+                        fleet.record_reply(&target, &order, reply, now);
                     });
                 }
                 FleetAction::Probe { target, address } => {
@@ -423,16 +423,18 @@
                         Err(error) => line.with("alive", false).with("why", error),
                     }
                     .write();
-                    let found = report.as_ref().map_or(Condition::Silent, |report| {
-                        let (life, pace) = (report.incarnation, report.pace);
-                        Condition::of_answer(&target, life, pace, SLOW_PACE)
-                    });
+                    let found = report
+                        .as_ref()
+                        .map_or(ProbeOutcome::Unresponsive, |report| {
+                            let (life, pace) = (report.incarnation, report.pace);
+                            ProbeOutcome::from_report(&target, life, pace, SLOW_PACE)
+                        });
                     planner.with_fleet(&service, |fleet, now| {
-                        fleet.probed(&target, found, now);
+                        fleet.record_probe(&target, found, now);
                         if let Ok(report) = &report
-                            && found != Condition::Restarted
+                            && found != ProbeOutcome::Restarted
                         {
-                            fleet.counted(&target, report.orders_taken, now);
+                            fleet.record_orders_taken(&target, report.orders_taken, now);
                         }
                     });
                 }
--- a/crates/thistlesill-policy/examples/looks.rs
+++ b/crates/thistlesill-policy/examples/looks.rs
@@ -59,11 +59,11 @@
             working: &none,
             requests: &no_requests,
             demand: &demand,
-            rooms: &no_rooms,
+            capacity_ratios: &no_rooms,
             evacuated: &nowhere,
             term: 1,
             wall: 0,
-            calm: false,
+            before_traffic: false,
         };
         drop(planner.step(&view, now));
     })
--- a/crates/thistlesill-policy/src/edge/fleet.rs
+++ b/crates/thistlesill-policy/src/edge/fleet.rs
@@ -27,7 +27,7 @@
 
 pub use self::census::{Census, DomainCensus, ModelCensus};
 use self::conversion::Conversion;
-pub use self::demand::{Demand, room};
+pub use self::demand::{Demand, capacity_ratio};
 use self::forming::Planned;
 use self::loads::LoadRate;
 pub use self::release::LateJoins;
@@ -80,7 +80,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FleetAction {
     /// Give an order.
-    Give {
+    SendOrder {
         /// The engine.
         target: TargetId,
         /// Where it listens.
@@ -88,7 +88,7 @@
         /// The order.
         order: Order,
         /// Why it is given.
-        why: &'static str,
+        reason: &'static str,
     },
     /// Ask a target whether it lives.
     Probe {
@@ -118,7 +118,7 @@
     pub demand: &'a Demand,
     /// Leaders that name a limit, with the part of their groups' usual work that it
     /// leaves: less than 1.
-    pub rooms: &'a HashMap<TargetId, f64>,
+    pub capacity_ratios: &'a HashMap<TargetId, f64>,
     /// Data centres whose targets get no requests.
     pub evacuated: &'a BTreeSet<HallId>,
     /// The term of the lease.
@@ -126,7 +126,7 @@
     /// The time of day, in Unix milliseconds.
     pub wall: u64,
     /// Whether no caller has sent a request yet; loads are cheap until then.
-    pub calm: bool,
+    pub before_traffic: bool,
 }
 
 impl FleetView<'_> {
@@ -138,29 +138,29 @@
 
 /// What a probe found of a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Condition {
+pub enum ProbeOutcome {
     /// It lives and is as fast as usual.
-    Sound,
+    Healthy,
     /// It lives and is much slower than usual.
     Slow,
     /// It did not answer.
-    Silent,
+    Unresponsive,
     /// It has started again and knows nothing of its group.
     Restarted,
 }
 
-impl Condition {
+impl ProbeOutcome {
     /// What a target's answer says of it: the life that answered, and its pace as a
     /// factor on its usual times; over `slow` it counts as slow.
     #[must_use]
-    pub fn of_answer(target: &TargetId, answered: Incarnation, pace: f64, slow: f64) -> Self {
+    pub fn from_report(target: &TargetId, answered: Incarnation, pace: f64, slow: f64) -> Self {
         let is_named = answered != Incarnation::default();
         if is_named && answered != target.incarnation() {
             Self::Restarted
         } else if pace >= slow {
             Self::Slow
         } else {
-            Self::Sound
+            Self::Healthy
         }
     }
 }
@@ -263,7 +263,7 @@
         for (group, standing) in &survey.groups {
             let verdict = self.judge(view, group, standing, now);
             self.carry_out(view, group, standing, verdict, now, &mut actions);
-            if verdict != Verdict::Serve && !view.calm {
+            if verdict != Verdict::Serve && !view.before_traffic {
                 // Its members may soon join another group.
                 for member in &standing.members {
                     self.ask_taken(member, now, &mut actions);
@@ -293,7 +293,13 @@
     }
 
     /// Takes in what became of an order.
-    pub fn answered(&mut self, target: &TargetId, order: &Order, reply: OrderReply, now: Millis) {
+    pub fn record_reply(
+        &mut self,
+        target: &TargetId,
+        order: &Order,
+        reply: OrderReply,
+        now: Millis,
+    ) {
         self.revisions.note_reply(target, order, reply);
         match (order, reply) {
             (Order::Join { to, .. }, OrderReply::Begun | OrderReply::Held) => {
@@ -341,25 +347,25 @@
     }
 
     /// Takes in how many orders a target reports to have taken in its present life.
-    pub fn counted(&mut self, target: &TargetId, orders_taken: u64, now: Millis) {
+    pub fn record_orders_taken(&mut self, target: &TargetId, orders_taken: u64, now: Millis) {
         self.revisions.note_reported(target, orders_taken, now);
     }
 
     /// Takes in what a probe found of a target.
-    pub fn probed(&mut self, target: &TargetId, found: Condition, now: Millis) {
+    pub fn record_probe(&mut self, target: &TargetId, found: ProbeOutcome, now: Millis) {
         match found {
-            Condition::Sound => {
+            ProbeOutcome::Healthy => {
                 self.silent.remove(target);
                 self.slow.remove(target);
             }
-            Condition::Slow => {
+            ProbeOutcome::Slow => {
                 self.silent.remove(target);
                 self.slow.insert(target.clone());
             }
-            Condition::Restarted => {
+            ProbeOutcome::Restarted => {
                 self.ended.insert(target.clone());
             }
-            Condition::Silent => {
+            ProbeOutcome::Unresponsive => {
                 let silent = self.silent.entry(target.clone()).or_insert((0, now));
                 *silent = (silent.0 + 1, now);
             }
@@ -368,7 +374,7 @@
 
     /// Listed targets that answered no probe or have started again, and the leaders
     /// that still take requests for groups that lost a member.
-    pub fn broken(&self, targets: &HashMap<TargetId, Target>) -> Vec<TargetId> {
+    pub fn broken_targets(&self, targets: &HashMap<TargetId, Target>) -> Vec<TargetId> {
         let broken = |t: &&Target| {
             let group = t.member.as_ref().map(|m| &m.of);
             self.is_dead(&t.id)
--- a/crates/thistlesill-policy/src/edge/fleet/census.rs
+++ b/crates/thistlesill-policy/src/edge/fleet/census.rs
@@ -17,9 +17,9 @@
     /// Groups that take requests.
     pub open: usize,
     /// Groups that the model should have.
-    pub fair: f64,
+    pub desired: f64,
     /// The work that it is asked for; 1 keeps one group fully busy.
-    pub work: f64,
+    pub demand: f64,
 }
 
 /// The targets of one fabric domain.
@@ -30,9 +30,9 @@
     /// Those in no group that takes requests.
     pub idle: usize,
     /// Idle ones that take over weights, or whose group ends what it has.
-    pub moving: usize,
+    pub transitioning: usize,
     /// Idle ones by the weights on their hosts.
-    pub ready: BTreeMap<Option<Model>, usize>,
+    pub staged: BTreeMap<Option<Model>, usize>,
 }
 
 /// How a service's fleet stands.
@@ -52,7 +52,7 @@
 
     /// Groups that are missing, over all models.
     pub fn missing(&self) -> f64 {
-        let missing = |m: &ModelCensus| (m.fair.floor() - m.open as f64).max(0.0);
+        let missing = |m: &ModelCensus| (m.desired.floor() - m.open as f64).max(0.0);
         self.models.iter().map(missing).sum()
     }
 }
@@ -62,17 +62,17 @@
         let Self {
             model,
             open,
-            fair,
-            work,
+            desired,
+            demand,
         } = self;
-        write!(f, "{model}:{open}/{fair:.1}@{work:.1}")
+        write!(f, "{model}:{open}/{desired:.1}@{demand:.1}")
     }
 }
 
 impl Display for DomainCensus {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
-        write!(f, "{}/{}-{}(", self.idle, self.listed, self.moving)?;
-        for (i, (model, count)) in self.ready.iter().enumerate() {
+        write!(f, "{}/{}-{}(", self.idle, self.listed, self.transitioning)?;
+        for (i, (model, count)) in self.staged.iter().enumerate() {
             let comma = if i > 0 { "," } else { "" };
             let model = model.as_ref().map_or("none", Model::as_str);
             write!(f, "{comma}{model}:{count}")?;
@@ -96,8 +96,8 @@
         ModelCensus {
             model: plan.model.clone(),
             open: view.targets.values().filter(leads).count(),
-            fair: fair_groups(view, plan, self.usable),
-            work: view.demand.get(&plan.model).copied().unwrap_or(0.0),
+            desired: fair_groups(view, plan, self.usable),
+            demand: view.demand.get(&plan.model).copied().unwrap_or(0.0),
         }
     }
 }
@@ -125,9 +125,9 @@
         domain.idle += 1;
         let state = target.member.as_ref().map(|m| m.state);
         let moving = matches!(state, Some(MemberState::Joining | MemberState::Closing));
-        domain.moving += usize::from(moving);
+        domain.transitioning += usize::from(moving);
         let model = target.staged.last().cloned();
-        *domain.ready.entry(model).or_default() += 1;
+        *domain.staged.entry(model).or_default() += 1;
     }
     domains
 }
--- a/crates/thistlesill-policy/src/edge/fleet/conversion.rs
+++ b/crates/thistlesill-policy/src/edge/fleet/conversion.rs
@@ -114,7 +114,7 @@
         };
         self.yielding.retain(open);
         self.gave_way.retain(|_, at| now - *at < GIVEN);
-        if view.calm || !self.yielding.is_empty() {
+        if view.before_traffic || !self.yielding.is_empty() {
             return;
         }
         let mut counts = self.count_groups(view, survey);
--- a/crates/thistlesill-policy/src/edge/fleet/demand.rs
+++ b/crates/thistlesill-policy/src/edge/fleet/demand.rs
@@ -75,7 +75,7 @@
 /// The groups of a model that the limits of its leaders take away, in whole groups. Each
 /// group counted as whole, work beyond the limits had no group that was formed for it.
 fn lacking(view: &FleetView<'_>, plan: &ModelPlan) -> f64 {
-    let limited = view.rooms.iter().filter(|(id, _)| {
+    let limited = view.capacity_ratios.iter().filter(|(id, _)| {
         let leader = view.targets.get(*id);
         leader.is_some_and(|t| t.is_open_leader() && t.model() == Some(&plan.model))
     });
@@ -85,7 +85,7 @@
 /// The part of its group's usual work that a leader's limit leaves.
 ///
 /// `work` is the time of the group that its requests take up, in milliseconds each.
-pub fn room(limit: RateLimit, work: f64) -> f64 {
+pub fn capacity_ratio(limit: RateLimit, work: f64) -> f64 {
     (limit.get() * work / 1_000.0 / USED).min(1.0)
 }
 
--- a/crates/thistlesill-policy/src/edge/fleet/forming.rs
+++ b/crates/thistlesill-policy/src/edge/fleet/forming.rs
@@ -151,7 +151,7 @@
             let why = "the model is short of groups";
             self.give_joins(planned, &best.members, why, now, actions, view);
         }
-        if view.calm && !self.held_back && now - self.grown >= DOMAIN_SETTLE_TIME {
+        if view.before_traffic && !self.held_back && now - self.grown >= DOMAIN_SETTLE_TIME {
             self.form_standby(view, free, now, actions);
         }
     }
@@ -189,7 +189,7 @@
     ) {
         for target in members.iter().filter_map(|id| view.targets.get(id)) {
             let id = &target.id;
-            if view.calm && target.member.is_none() && self.revisions.of(id).is_none() {
+            if view.before_traffic && target.member.is_none() && self.revisions.of(id).is_none() {
                 // Almost certainly none yet; if it did, it refuses and is asked.
                 self.revisions.note_started(id);
             }
@@ -260,7 +260,7 @@
             shortage(view, plan, groups, self.usable) > BELOW_FAIR
         });
         // What a short model lacks is not used up for one that has enough.
-        found.retain(|c| !short || view.calm || c.shortage > BELOW_FAIR);
+        found.retain(|c| !short || view.before_traffic || c.shortage > BELOW_FAIR);
         found.into_iter().find(|c| self.is_allowed(view, c, now))
     }
 
@@ -269,14 +269,14 @@
         let settled = now - self.grown >= DOMAIN_SETTLE_TIME;
         // Until all domains are listed, none is filled up.
         let early = Some(candidate.members.len()) != largest || candidate.left < SPARES;
-        if view.calm && !settled && early {
+        if view.before_traffic && !settled && early {
             return false;
         }
         let below = candidate.shortage > BELOW_FAIR;
         if candidate.shortage <= AMPLE || (candidate.left < SPARES && !below) {
             return false;
         }
-        if view.calm {
+        if view.before_traffic {
             let allowed = self.loading(view) + candidate.cold <= most_calm(view.engine);
             self.held_back |= !allowed;
             return allowed;
--- a/crates/thistlesill-policy/src/edge/fleet/orders.rs
+++ b/crates/thistlesill-policy/src/edge/fleet/orders.rs
@@ -138,11 +138,11 @@
         }
         self.given.insert(slot, now);
         self.revisions.note_given(&target, now);
-        actions.push(FleetAction::Give {
+        actions.push(FleetAction::SendOrder {
             target,
             address,
             order,
-            why,
+            reason: why,
         });
         true
     }
--- a/crates/thistlesill-policy/src/edge/fleet/release.rs
+++ b/crates/thistlesill-policy/src/edge/fleet/release.rs
@@ -144,7 +144,7 @@
             .began
             .is_some_and(|at| now - at >= LEADER_DRAIN_TIMEOUT);
         let age = view.wall.abs_diff(id.incarnation().get());
-        !view.calm && !knows && age < (LEADER_DRAIN_TIMEOUT + CLOCK_JUMP).get()
+        !view.before_traffic && !knows && age < (LEADER_DRAIN_TIMEOUT + CLOCK_JUMP).get()
     }
 
     /// Has the members of a group leave it whose leader cannot be told to end it.
--- a/crates/thistlesill-policy/src/edge/fleet/spares.rs
+++ b/crates/thistlesill-policy/src/edge/fleet/spares.rs
@@ -114,14 +114,14 @@
     ) {
         let settled = now - self.grown >= DOMAIN_SETTLE_TIME;
         let late = settled && !self.held_back && self.loading(view) < most_calm(view.engine);
-        if view.calm && !late {
+        if view.before_traffic && !late {
             return;
         }
         let idle: Vec<&Target> = free.iter().filter_map(|id| view.targets.get(id)).collect();
         let mut holdings = self.holdings(view, survey, &idle);
-        while view.calm || self.may_load(view, now) {
+        while view.before_traffic || self.may_load(view, now) {
             let Some(load) = self.best_load(view, &holdings, &idle) else {
-                if view.calm {
+                if view.before_traffic {
                     self.stage_members(view, survey, now, actions);
                 }
                 return;
@@ -246,7 +246,7 @@
         }
         let lost = held.map(|p| holdings.worth(domain, p, holdings.ready(&(domain, &p.model))));
         let lost = lost.fold(0.0, f64::max);
-        let better = !view.calm && spare > RESTAGE * lost;
+        let better = !view.before_traffic && spare > RESTAGE * lost;
         better.then_some(Load {
             target,
             plan,
--- a/crates/thistlesill-policy/src/edge/fleet/standby.rs
+++ b/crates/thistlesill-policy/src/edge/fleet/standby.rs
@@ -119,7 +119,7 @@
             self.needs_conversion(view, other, groups)
         };
         // Where another model is short, groups end only when that helps it.
-        if !supply.eased || view.calm || view.engine.models.iter().any(short) {
+        if !supply.eased || view.before_traffic || view.engine.models.iter().any(short) {
             self.eased.remove(&plan.model);
             return;
         }
--- a/crates/thistlesill-policy/tests/edge/restarts.rs
+++ b/crates/thistlesill-policy/tests/edge/restarts.rs
@@ -4,7 +4,7 @@
 use thistlesill_core::edge::{GroupRef, Incarnation, MemberState, Order, Target, TargetId};
 use thistlesill_policy::edge::book::{Listing, RELIST, TargetBook};
 use thistlesill_policy::edge::feed::{Batch, Change, Feed};
-use thistlesill_policy::edge::fleet::{Condition, FleetPlanner};
+use thistlesill_policy::edge::fleet::{FleetPlanner, ProbeOutcome};
 use thistlesill_policy::edge::load::{LoadTable, Work};
 
 use crate::book::{listed, target};
@@ -140,12 +140,12 @@
 #[test]
 fn an_answer_of_another_life_tells_that_a_member_is_lost() {
     let known = life("a", BORN);
-    let of = |answered, pace| Condition::of_answer(&known, answered, pace, 2.5);
-    assert_eq!(of(BORN, 1.0), Condition::Sound);
-    assert_eq!(of(BORN, 3.0), Condition::Slow);
-    assert_eq!(of(AGAIN, 1.0), Condition::Restarted);
+    let of = |answered, pace| ProbeOutcome::from_report(&known, answered, pace, 2.5);
+    assert_eq!(of(BORN, 1.0), ProbeOutcome::Healthy);
+    assert_eq!(of(BORN, 3.0), ProbeOutcome::Slow);
+    assert_eq!(of(AGAIN, 1.0), ProbeOutcome::Restarted);
     // Not all platforms tell it.
-    assert_eq!(of(Incarnation::default(), 1.0), Condition::Sound);
+    assert_eq!(of(Incarnation::default(), 1.0), ProbeOutcome::Healthy);
 }
 
 #[test]
@@ -231,9 +231,9 @@
     let (leader, members) = stage.group_of(4);
     stage
         .planner
-        .probed(&members[1], Condition::Restarted, stage.now);
+        .record_probe(&members[1], ProbeOutcome::Restarted, stage.now);
     let targets = stage.engines.listed();
-    assert_eq!(stage.planner.broken(&targets), {
+    assert_eq!(stage.planner.broken_targets(&targets), {
         let mut both = vec![leader.clone(), members[1].clone()];
         both.sort();
         both
--- a/crates/thistlesill-policy/tests/edge/stage.rs
+++ b/crates/thistlesill-policy/tests/edge/stage.rs
@@ -6,7 +6,7 @@
 use thistlesill_core::{HallId, Millis};
 use thistlesill_fakes::engines::{Engines, engine};
 use thistlesill_policy::edge::fleet::{
-    Census, Condition, Demand, FleetAction, FleetPlanner, FleetView,
+    Census, Demand, FleetAction, FleetPlanner, FleetView, ProbeOutcome,
 };
 
 /// The time of day at which virtual time begins, in Unix milliseconds.
@@ -113,15 +113,15 @@
             working: &self.working,
             requests: &self.requests,
             demand: &self.demand,
-            rooms: &self.rooms,
+            capacity_ratios: &self.rooms,
             evacuated: &self.evacuated,
             term: self.term,
             wall: self.wall(),
-            calm: self.calm,
+            before_traffic: self.calm,
         };
         for action in self.planner.step(&view, self.now) {
             match action {
-                FleetAction::Give { target, order, .. } => {
+                FleetAction::SendOrder { target, order, .. } => {
                     self.orders.push((self.now, target.clone(), order.clone()));
                     let fate = if self.cut.contains(&target) {
                         Fate::Lost
@@ -147,19 +147,19 @@
                             OrderReply::Unknown
                         }
                     };
-                    self.planner.answered(&target, &order, reply, self.now);
+                    self.planner.record_reply(&target, &order, reply, self.now);
                 }
                 FleetAction::Probe { target, .. } => {
                     let reached = !self.cut.contains(&target);
                     let found = match reached && self.engines.is_alive(&target) {
-                        true if self.slow.contains(&target) => Condition::Slow,
-                        true => Condition::Sound,
-                        false => Condition::Silent,
+                        true if self.slow.contains(&target) => ProbeOutcome::Slow,
+                        true => ProbeOutcome::Healthy,
+                        false => ProbeOutcome::Unresponsive,
                     };
-                    self.planner.probed(&target, found, self.now);
+                    self.planner.record_probe(&target, found, self.now);
                     if reached && self.engines.life(&target).as_ref() == Some(&target) {
                         let taken = self.engines.orders_taken(&target);
-                        self.planner.counted(&target, taken, self.now);
+                        self.planner.record_orders_taken(&target, taken, self.now);
                     }
                 }
             }
@@ -217,11 +217,11 @@
             working: &self.working,
             requests: &self.requests,
             demand: &self.demand,
-            rooms: &self.rooms,
+            capacity_ratios: &self.rooms,
             evacuated: &self.evacuated,
             term: self.term,
             wall: self.wall(),
-            calm: self.calm,
+            before_traffic: self.calm,
         })
     }
 
