--- a/crates/thistlesill-policy/src/edge/fleet.rs
+++ b/crates/thistlesill-policy/src/edge/fleet.rs
@@ -1,10 +1,10 @@
-//! Which targets of a service form groups, and the orders that make them.
+//! Plans the groups of a service's targets: decides which targets form a group, and which orders
+//! each of them needs.
 //!
-//! The targets' own entries hold all that is known of groups, so a planner
-//! that takes over needs no plan of its predecessor: it goes on from what the
-//! entries say. Epochs begin with the lease's term, so no two planners ever
-//! give out the same one, and a target refuses a join that is older than one
-//! it has seen.
+//! All knowledge of groups is in the targets' own entries, so a planner that takes over needs no
+//! plan from its predecessor and continues from the entries. Epochs begin with the term of the
+//! lease, so no two planners ever assign the same one, and a target refuses a join that is older
+//! than one it has seen.
 
 mod census;
 mod conversion;
@@ -28,136 +28,137 @@
 pub use self::census::{Census, DomainCensus, ModelCensus};
 use self::conversion::Conversion;
 pub use self::demand::{Demand, capacity_ratio};
-use self::forming::Planned;
+use self::forming::PlannedGroup;
 use self::loads::LoadRate;
 pub use self::release::LateJoins;
-use self::revisions::Revisions;
-use self::survey::{Survey, Verdict};
+use self::revisions::OrderCounts;
+use self::survey::{Decision, Survey};
 
-/// Bits of an epoch that count the groups within a term.
+/// Bits of an epoch that number the groups of one term.
 const EPOCH_BITS: u32 = 20;
-/// An order without effect is given again after this time; an engine takes
-/// some milliseconds, and its entry some more.
+/// Time after which an order without effect is sent again. An engine takes some milliseconds to
+/// carry it out, and the target's entry is updated some milliseconds later.
 const ORDER_RETRY_INTERVAL: Millis = Millis::new(700);
-/// How long a target that left orders unanswered or refused them is not
-/// planned with.
-const AVOID_TIME: Millis = Millis::new(4_000);
-/// How long a leader that is no longer listed may go on with what runs.
+/// How long a target that refused orders or left them unanswered is excluded from new groups.
+const AVOID_DURATION: Millis = Millis::new(4_000);
+/// How long a leader that is no longer listed may finish its running requests before it is ordered
+/// to stop at once.
 const LEADER_CLOSE_TIMEOUT: Millis = Millis::new(800);
-/// How long a leader may be missing from the list and answer no order before
-/// its group counts as ended: several orders went unanswered by then.
+/// How long a leader may be missing from the list and answer no order before its group counts as
+/// ended. Several orders have gone unanswered by then.
 const LEADER_GONE_TIMEOUT: Millis = Millis::new(2_800);
-/// How long a leader that leaves may work off what it has; the platform's longest
-/// time for it.
+/// How long a leader that shuts down may finish its running requests: the platform's limit.
 const LEADER_DRAIN_TIMEOUT: Millis = Millis::new(10_000);
-/// How long after it was given an order may be carried out: the platform's longest time.
+/// How long after it was sent an order may still be carried out: the platform's limit.
 const LATE_ORDER_TIMEOUT: Millis = Millis::new(12_000);
-/// Time after a join in which its planner has announced that it got no answer: the
-/// longest wait for one, and three of a planner's beats.
+/// Time after a join within which its planner has announced that the join got no answer: the
+/// longest wait for an answer, and three heartbeats of a planner.
 const JOIN_ANNOUNCE_DELAY: Millis = Millis::new(1_600);
-/// How long the members of a group that another planner formed may take to
-/// show themselves.
-const MEMBERS_SHOW_TIMEOUT: Millis = Millis::new(2_000);
-/// After a target appeared, how long others may follow that belong to the
-/// same domain.
+/// How long the members of a group that another planner formed may take to appear in the list.
+const MEMBERS_APPEAR_TIMEOUT: Millis = Millis::new(2_000);
+/// How long after a target appeared the other targets of its domain may still follow.
 const DOMAIN_SETTLE_TIME: Millis = Millis::new(600);
-/// How long a target that answered no probe counts as dead without another
-/// probe.
+/// How long a target that answered no probe counts as dead without another probe.
 const DEAD_TARGET_RETENTION: Millis = Millis::new(8_000);
-/// Probes in a row without an answer after which a target counts as dead.
-const DEAD_PROBES: u32 = 2;
-/// Rounds of probes of one group; members that answered all of them live, and
-/// the group stands still for another reason.
-const PROBE_ROUNDS: u32 = 4;
-/// After the first of these rounds, when more may follow.
+/// Consecutive unanswered probes after which a target counts as dead.
+const MAX_FAILED_PROBES: u32 = 2;
+/// Probe rounds of one stalled group per [`PROBE_ROUND_INTERVAL`]. Members that answered all of
+/// them are alive, and the group is stalled for another reason.
+const MAX_PROBE_ROUNDS: u32 = 4;
+/// Time from the first probe round of a stalled group until its rounds are counted anew.
 const PROBE_ROUND_INTERVAL: Millis = Millis::new(2_000);
-/// Between two probes of an idle target that was slow.
+/// Time between two probes of an idle target that was slow.
 const SLOW_PROBE_INTERVAL: Millis = Millis::new(1_000);
-/// Between two probes of one target.
+/// Time between two probes of one target.
 const PROBE_INTERVAL: Millis = Millis::new(140);
 
-/// What the planner wants done next.
+/// An action that the planner requests from its daemon.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FleetAction {
-    /// Give an order.
+    /// Send an order to a target.
     SendOrder {
-        /// The engine.
+        /// The target that receives the order.
         target: TargetId,
-        /// Where it listens.
+        /// The address at which the target listens.
         address: SocketAddr,
-        /// The order.
+        /// The order to send.
         order: Order,
-        /// Why it is given.
+        /// Why the order is sent, for the log.
         reason: &'static str,
     },
-    /// Ask a target whether it lives.
+    /// Probe a target: ask whether it is alive, and for its report.
     Probe {
-        /// The target.
+        /// The target to probe.
         target: TargetId,
-        /// Where it listens.
+        /// The address at which the target listens.
         address: SocketAddr,
     },
 }
 
-/// What the planner decides on.
+/// The state of the service on which the planner bases its decisions.
 #[derive(Debug, Clone, Copy)]
 pub struct FleetView<'a> {
-    /// The targets of the service.
+    /// The listed targets of the service.
     pub targets: &'a HashMap<TargetId, Target>,
-    /// The service's engines.
+    /// Performance figures and models of the service's engines.
     pub engine: &'a Engine,
-    /// Leaders whose groups stand still, as the daemons see it.
+    /// Leaders whose groups make no progress, as observed by the daemons.
     pub stalled: &'a HashSet<TargetId>,
-    /// Leaders whose streams are slow, as the daemons see it.
+    /// Leaders whose streams are slow, as observed by the daemons.
     pub slow: &'a HashSet<TargetId>,
-    /// Leaders that still work for some daemon.
+    /// Leaders at which some daemon still has requests that make progress.
     pub working: &'a HashSet<TargetId>,
-    /// Requests at leaders, of all daemons.
+    /// Running requests at each leader, summed over all daemons.
     pub requests: &'a HashMap<TargetId, u32>,
-    /// The work that each model is asked for, over all daemons.
+    /// The demand for each model, summed over all daemons.
     pub demand: &'a Demand,
-    /// Leaders that name a limit, with the part of their groups' usual work that it
-    /// leaves: less than 1.
+    /// For each leader that reports a rate limit, the ratio of its group's usual work that the
+    /// limit leaves, at most 1.
     pub capacity_ratios: &'a HashMap<TargetId, f64>,
-    /// Data centres whose targets get no requests.
+    /// Data centres that are evacuated: their targets get no requests.
     pub evacuated: &'a BTreeSet<HallId>,
     /// The term of the lease.
     pub term: u64,
     /// The time of day, in Unix milliseconds.
     pub wall: u64,
-    /// Whether no caller has sent a request yet; loads are cheap until then.
+    /// Whether no caller has sent a request yet. Until then, loading weights is cheap.
     pub before_traffic: bool,
 }
 
 impl FleetView<'_> {
-    /// Whether a target gets no requests, since its data centre is evacuated.
+    /// Returns whether a target gets no requests because its data centre is evacuated.
     fn is_evacuated(&self, target: &Target) -> bool {
         self.evacuated.contains(&target.hall)
     }
 }
 
-/// What a probe found of a target.
+/// The result of a probe.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProbeOutcome {
-    /// It lives and is as fast as usual.
+    /// The target is alive and about as fast as usual.
     Healthy,
-    /// It lives and is much slower than usual.
+    /// The target is alive and much slower than usual.
     Slow,
-    /// It did not answer.
+    /// The target did not answer.
     Unresponsive,
-    /// It has started again and knows nothing of its group.
+    /// The target's process has restarted and knows nothing of its group.
     Restarted,
 }
 
 impl ProbeOutcome {
-    /// What a target's answer says of it: the life that answered, and its pace as a
-    /// factor on its usual times; over `slow` it counts as slow.
+    /// Classifies a target's report by the incarnation that answered and by its pace, a factor on
+    /// its usual step times. From `slow_pace` on the target counts as slow.
     #[must_use]
-    pub fn from_report(target: &TargetId, answered: Incarnation, pace: f64, slow: f64) -> Self {
-        let is_named = answered != Incarnation::default();
-        if is_named && answered != target.incarnation() {
+    pub fn from_report(
+        target: &TargetId,
+        reported: Incarnation,
+        pace: f64,
+        slow_pace: f64,
+    ) -> Self {
+        let is_named = reported != Incarnation::default();
+        if is_named && reported != target.incarnation() {
             Self::Restarted
-        } else if pace >= slow {
+        } else if pace >= slow_pace {
             Self::Slow
         } else {
             Self::Healthy
@@ -165,134 +166,136 @@
     }
 }
 
-/// The planner of one service's groups, while its daemon holds the lease.
+/// Plans the groups of one service while its daemon holds the lease.
 #[derive(Debug, Default)]
 pub struct FleetPlanner {
     counter: u64,
-    /// When it first looked at the list.
-    began: Option<Millis>,
-    /// The term in which it plans.
+    /// When this planner first received the list of targets.
+    watching_since: Option<Millis>,
+    /// The term in which this planner plans.
     term: Option<u64>,
-    revisions: Revisions,
-    planned: BTreeMap<GroupRef, Planned>,
-    /// Groups whose leader took an order to break off.
+    order_counts: OrderCounts,
+    planned: BTreeMap<GroupRef, PlannedGroup>,
+    /// Groups whose leader accepted an order to abort its requests.
     cut: BTreeSet<GroupRef>,
-    /// Groups whose leader was told to open and has not been seen open since,
-    /// with the orders that got no answer: they may yet be carried out.
+    /// Groups whose leader was ordered to open and has not been seen open since, with the number of
+    /// such orders that got no answer: these may still be carried out.
     opening: BTreeMap<GroupRef, u32>,
-    /// Doubtful groups whose leader has left them.
-    left: BTreeSet<GroupRef>,
+    /// Groups that a late order could open and whose leader has left them.
+    leader_left: BTreeSet<GroupRef>,
     /// Groups that this planner formed in its present term.
     formed: BTreeSet<GroupRef>,
-    /// When a join of each group last got no answer, this planner's or its predecessor's.
-    unanswered: BTreeMap<GroupRef, Millis>,
-    /// When such joins of other planners were last announced.
-    announced: Option<Millis>,
-    /// The highest epoch of the joins that each target was given in that term.
-    joined: BTreeMap<TargetId, u64>,
-    /// Groups that have ended, as of the last look.
-    void: BTreeSet<GroupRef>,
-    /// Groups that are complete and not wanted, as of the last look.
+    /// When a join of each group last got no answer, whether this planner or its predecessor sent
+    /// it.
+    unanswered_joins: BTreeMap<GroupRef, Millis>,
+    /// When another planner last announced its unanswered joins.
+    last_announcement: Option<Millis>,
+    /// The highest epoch among the joins that were sent to each target in the present term.
+    join_epochs: BTreeMap<TargetId, u64>,
+    /// Groups that have ended, as of the last step.
+    ended_groups: BTreeSet<GroupRef>,
+    /// Groups that are complete and not needed, as of the last step.
     standby: BTreeSet<GroupRef>,
-    /// Groups that serve and are not wanted, as of the last look.
+    /// Groups that serve and are not needed, as of the last step.
     surplus: BTreeSet<GroupRef>,
-    /// Since when each model would do with a group fewer.
-    eased: BTreeMap<Model, Millis>,
-    /// When an order was last given to a target, by its kind.
-    given: BTreeMap<(TargetId, &'static str), Millis>,
-    avoid: BTreeMap<TargetId, Millis>,
-    /// Probes in a row that a target did not answer, and the last one's time.
-    silent: BTreeMap<TargetId, (u32, Millis)>,
-    probed: BTreeMap<TargetId, Millis>,
-    /// Targets that were much slower than usual when they were last asked.
+    /// Since when one group fewer would suffice for each model.
+    underused_since: BTreeMap<Model, Millis>,
+    /// When an order of each kind was last sent to a target.
+    last_orders: BTreeMap<(TargetId, &'static str), Millis>,
+    avoided: BTreeMap<TargetId, Millis>,
+    /// Consecutive probes that a target did not answer, and the time of the last one.
+    failed_probes: BTreeMap<TargetId, (u32, Millis)>,
+    last_probes: BTreeMap<TargetId, Millis>,
+    /// Targets that were much slower than usual at their last probe.
     slow: BTreeSet<TargetId>,
-    /// Rounds of probes of a leader's group, and when they began.
-    rounds: BTreeMap<TargetId, (u32, Millis)>,
-    /// When the members of a slow leader were last asked for their pace.
-    asked: BTreeMap<TargetId, Millis>,
-    missing: BTreeMap<TargetId, Millis>,
-    /// Lives of targets that are over, since their instances have started again.
-    ended: BTreeSet<TargetId>,
-    /// Lives of members whose last group's leader may serve on, by instance, with the moment
-    /// at which it must have ended: another life of the instance waits for that.
-    waiting: BTreeMap<InstanceId, (TargetId, Millis)>,
-    /// Who has shown itself as a member of each group.
-    rosters: BTreeMap<GroupRef, BTreeSet<TargetId>>,
+    /// Probe rounds of a leader's group, and when they began.
+    probe_rounds: BTreeMap<TargetId, (u32, Millis)>,
+    /// When the members of a slow leader were last probed for their pace.
+    pace_probes: BTreeMap<TargetId, Millis>,
+    missing_since: BTreeMap<TargetId, Millis>,
+    /// Incarnations that are over because their instances have restarted.
+    superseded: BTreeSet<TargetId>,
+    /// Incarnations of members whose last group's leader may still serve, by instance, with the
+    /// time by which that leader must have stopped. A later incarnation of the instance joins no
+    /// group until then.
+    blocked_until: BTreeMap<InstanceId, (TargetId, Millis)>,
+    /// All targets that were seen as members of each group.
+    group_members: BTreeMap<GroupRef, BTreeSet<TargetId>>,
     /// When each group was first seen.
-    seen: BTreeMap<GroupRef, Millis>,
-    /// The model of each target's last group: it joins another one of that model
-    /// without taking over weights.
-    loaded: BTreeMap<TargetId, Model>,
-    /// Who led each group when it was last seen.
+    first_seen: BTreeMap<GroupRef, Millis>,
+    /// The model of each target's last group. The target joins another group of that model without
+    /// loading weights.
+    last_models: BTreeMap<TargetId, Model>,
+    /// The last known leader of each group.
     leaders: BTreeMap<GroupRef, TargetId>,
-    /// The most targets that were seen.
-    most: usize,
-    /// The most targets that groups may be formed of, as of the last look: those of data
-    /// centres that are evacuated do not count.
-    usable: usize,
-    /// When a target was last seen for the first time.
-    grown: Millis,
+    /// The largest number of targets that was seen.
+    peak_targets: usize,
+    /// The number of targets from which groups may be formed, as of the last step: the largest
+    /// number seen, without the listed targets of evacuated data centres.
+    usable_targets: usize,
+    /// When a target was last listed for the first time.
+    last_appeared: Millis,
     addresses: BTreeMap<TargetId, SocketAddr>,
-    /// Spares that were told to hold a model ready, and when.
+    /// Targets that were ordered to stage a model's weights, and when.
     staging: BTreeMap<TargetId, (Model, Millis)>,
-    /// Conversions of groups to short models that are under way.
+    /// Conversions of groups to models that lack groups, in progress.
     conversions: Vec<Conversion>,
-    /// Since when each model has been so short that others give way.
+    /// Since when each model has lacked so many groups that groups of other models are converted.
     short_since: BTreeMap<Model, Millis>,
-    /// Groups that end so that another model gets their members.
-    yielding: BTreeSet<GroupRef>,
-    /// When groups that gave way were told to end; they stay closed for a while.
-    gave_way: BTreeMap<GroupRef, Millis>,
-    /// Whether a group waits to be formed until others have their weights.
-    held_back: bool,
-    loads: LoadRate,
+    /// Groups that are closed because their members are needed for another model.
+    converting: BTreeSet<GroupRef>,
+    /// When converted groups were ordered to close. They stay closed for a while.
+    converted_at: BTreeMap<GroupRef, Millis>,
+    /// Whether a group is not formed yet because too many other targets are loading weights.
+    formation_deferred: bool,
+    load_rate: LoadRate,
 }
 
 impl FleetPlanner {
-    /// Looks at the fleet and decides what to do next.
+    /// Evaluates the fleet and returns the actions to take next.
     pub fn step(&mut self, view: &FleetView<'_>, now: Millis) -> Vec<FleetAction> {
-        let plans = self.enter_term(view, now);
-        self.remember(view.targets, plans, now);
+        let is_sole_planner = self.enter_term(view, now);
+        self.observe(view.targets, is_sole_planner, now);
         let survey = Survey::new(view);
         let evacuated = view.targets.values().filter(|t| view.is_evacuated(t));
-        self.usable = self.most.saturating_sub(evacuated.count());
+        self.usable_targets = self.peak_targets.saturating_sub(evacuated.count());
         let mut actions = Vec::new();
         let mut free = BTreeSet::new();
-        self.void.clear();
+        self.ended_groups.clear();
         self.find_standby(view, &survey, now);
-        for (group, standing) in &survey.groups {
-            let verdict = self.judge(view, group, standing, now);
-            self.carry_out(view, group, standing, verdict, now, &mut actions);
-            if verdict != Verdict::Serve && !view.before_traffic {
-                // Its members may soon join another group.
-                for member in &standing.members {
-                    self.ask_taken(member, now, &mut actions);
+        for (group, observed) in &survey.groups {
+            let decision = self.decide(view, group, observed, now);
+            self.execute(view, group, observed, decision, now, &mut actions);
+            if decision != Decision::Serve && !view.before_traffic {
+                // The members may soon join another group.
+                for member in &observed.members {
+                    self.probe_orders_taken(member, now, &mut actions);
                 }
             }
-            if verdict == Verdict::Void {
-                self.void.insert(group.clone());
+            if decision == Decision::Ended {
+                self.ended_groups.insert(group.clone());
             }
-            if matches!(verdict, Verdict::Void | Verdict::Standby) {
-                free.extend(standing.members.iter().map(|m| m.id.clone()));
+            if matches!(decision, Decision::Ended | Decision::Standby) {
+                free.extend(observed.members.iter().map(|m| m.id.clone()));
             }
         }
-        let bound = self.bound(view, &survey);
-        let single = survey.single.iter().map(|t| &t.id);
-        let fresh =
-            |id: &&TargetId| bound.contains(id.instance()) || self.may_be_bound(view, id, now);
-        free.extend(single.filter(|id| !fresh(id)).cloned());
+        let blocked = self.blocked_instances(view, &survey);
+        let ungrouped = survey.ungrouped.iter().map(|t| &t.id);
+        let is_blocked =
+            |id: &&TargetId| blocked.contains(id.instance()) || self.may_be_blocked(view, id, now);
+        free.extend(ungrouped.filter(|id| !is_blocked(id)).cloned());
         self.advance_planned(view, now, &mut actions);
-        self.ask_slow(view, &free, now, &mut actions);
-        self.drop_taken(&mut free, view, now);
-        // Its groups stay as they are until it is taken back.
+        self.probe_slow(view, &free, now, &mut actions);
+        self.remove_busy(&mut free, view, now);
+        // Targets of an evacuated data centre join no new group until the evacuation ends.
         free.retain(|id| view.targets.get(id).is_none_or(|t| !view.is_evacuated(t)));
-        self.form(view, &survey, &mut free, now, &mut actions);
-        self.stage(view, &survey, &free, now, &mut actions);
-        self.convert(view, &survey, &free, now, &mut actions);
+        self.form_groups(view, &survey, &mut free, now, &mut actions);
+        self.stage_weights(view, &survey, &free, now, &mut actions);
+        self.convert_groups(view, &survey, &free, now, &mut actions);
         actions
     }
 
-    /// Takes in what became of an order.
+    /// Applies the reply to an order.
     pub fn record_reply(
         &mut self,
         target: &TargetId,
@@ -300,11 +303,11 @@
         reply: OrderReply,
         now: Millis,
     ) {
-        self.revisions.note_reply(target, order, reply);
+        self.order_counts.apply_reply(target, order, reply);
         match (order, reply) {
             (Order::Join { to, .. }, OrderReply::Begun | OrderReply::Held) => {
                 if let Some(planned) = self.planned.get_mut(to) {
-                    planned.taken.insert(target.clone());
+                    planned.accepted.insert(target.clone());
                 }
             }
             (
@@ -313,72 +316,74 @@
                 },
                 OrderReply::Unknown,
             ) => {
-                self.unanswered.insert(to.clone(), now);
-                self.revisions.note_late_join(target, *orders_taken, now);
-                self.count_try(to, target, now);
+                self.unanswered_joins.insert(to.clone(), now);
+                self.order_counts
+                    .record_late_join(target, *orders_taken, now);
+                self.count_attempt(to, target, now);
             }
-            // It may have taken another order since its orders were counted.
-            (Order::Join { to, .. }, OrderReply::Unfit) => self.count_try(to, target, now),
+            // The target may have taken another order since its orders were counted.
+            (Order::Join { to, .. }, OrderReply::Unfit) => self.count_attempt(to, target, now),
             (Order::Join { to, .. }, _) => self.abandon(to, target, now),
-            // A leader that refuses connections may still work off what it has.
+            // A leader that refuses connections may still finish its running requests.
             (Order::Cut(group), OrderReply::Begun | OrderReply::Held | OrderReply::Elsewhere) => {
                 self.cut.insert(group.clone());
             }
             (Order::Open(_), OrderReply::Unknown) => {}
             (Order::Open(group), _) => {
-                if let Some(open) = self.opening.get_mut(group) {
-                    *open = open.saturating_sub(1);
+                if let Some(pending) = self.opening.get_mut(group) {
+                    *pending = pending.saturating_sub(1);
                 }
             }
-            // A member that left shows it in its entry.
+            // Only the leader's reply is recorded: a member that left shows this in its entry.
             (Order::Leave(group), OrderReply::Begun | OrderReply::Held | OrderReply::Elsewhere)
                 if self.leaders.get(group) == Some(target) =>
             {
-                self.left.insert(group.clone());
+                self.leader_left.insert(group.clone());
             }
             (_, OrderReply::Refused) => {
-                self.silent.insert(target.clone(), (DEAD_PROBES, now));
+                self.failed_probes
+                    .insert(target.clone(), (MAX_FAILED_PROBES, now));
             }
             (_, OrderReply::Begun | OrderReply::Held | OrderReply::Unknown) => {}
             (_, _) => {
-                self.avoid.insert(target.clone(), now);
+                self.avoided.insert(target.clone(), now);
             }
         }
     }
 
-    /// Takes in how many orders a target reports to have taken in its present life.
+    /// Records how many orders a target reports to have taken in its present incarnation.
     pub fn record_orders_taken(&mut self, target: &TargetId, orders_taken: u64, now: Millis) {
-        self.revisions.note_reported(target, orders_taken, now);
+        self.order_counts.record_reported(target, orders_taken, now);
     }
 
-    /// Takes in what a probe found of a target.
-    pub fn record_probe(&mut self, target: &TargetId, found: ProbeOutcome, now: Millis) {
-        match found {
+    /// Records the result of a probe.
+    pub fn record_probe(&mut self, target: &TargetId, outcome: ProbeOutcome, now: Millis) {
+        match outcome {
             ProbeOutcome::Healthy => {
-                self.silent.remove(target);
+                self.failed_probes.remove(target);
                 self.slow.remove(target);
             }
             ProbeOutcome::Slow => {
-                self.silent.remove(target);
+                self.failed_probes.remove(target);
                 self.slow.insert(target.clone());
             }
             ProbeOutcome::Restarted => {
-                self.ended.insert(target.clone());
+                self.superseded.insert(target.clone());
             }
             ProbeOutcome::Unresponsive => {
-                let silent = self.silent.entry(target.clone()).or_insert((0, now));
-                *silent = (silent.0 + 1, now);
+                let failed = self.failed_probes.entry(target.clone()).or_insert((0, now));
+                *failed = (failed.0 + 1, now);
             }
         }
     }
 
-    /// Listed targets that answered no probe or have started again, and the leaders
-    /// that still take requests for groups that lost a member.
+    /// Returns the listed targets that answered no probe or have restarted, and the leaders that
+    /// still take requests although their group lost a member, in the order of their ids.
     pub fn broken_targets(&self, targets: &HashMap<TargetId, Target>) -> Vec<TargetId> {
         let broken = |t: &&Target| {
             let group = t.member.as_ref().map(|m| &m.of);
             self.is_dead(&t.id)
-                || t.is_open_leader() && group.is_some_and(|g| self.lacks(g, targets))
+                || t.is_open_leader() && group.is_some_and(|g| self.has_lost_member(g, targets))
         };
         let found = targets.values().filter(broken).map(|t| t.id.clone());
         let mut found: Vec<TargetId> = found.collect();
@@ -387,27 +392,31 @@
     }
 
     fn is_dead(&self, id: &TargetId) -> bool {
-        let silent = self.silent.get(id);
-        silent.is_some_and(|(probes, _)| *probes >= DEAD_PROBES) || self.ended.contains(id)
+        let failed = self.failed_probes.get(id);
+        failed.is_some_and(|(probes, _)| *probes >= MAX_FAILED_PROBES)
+            || self.superseded.contains(id)
     }
 
-    /// Whether a member of a group is surely lost: it answers no probe, it has started
-    /// again, or it shows another group or none.
+    /// Returns whether a member of a group is certainly lost: the member answers no probe, has
+    /// restarted, or shows another group or none.
     ///
-    /// A member whose entry is gone may live: it may leave without a word and work on,
-    /// or its entry lapsed with the store.
-    fn lacks(&self, group: &GroupRef, targets: &HashMap<TargetId, Target>) -> bool {
+    /// A member without an entry may be alive: it may have left the list unannounced and still
+    /// work, or its entry expired with the store.
+    fn has_lost_member(&self, group: &GroupRef, targets: &HashMap<TargetId, Target>) -> bool {
         let lost = |id: &TargetId| self.is_dead(id) || is_elsewhere(id, group, targets);
-        self.rosters.get(group).is_some_and(|r| r.iter().any(lost))
+        self.group_members
+            .get(group)
+            .is_some_and(|r| r.iter().any(lost))
     }
 
-    /// Counts a join that was not taken; after several ones its group is given up.
-    fn count_try(&mut self, group: &GroupRef, target: &TargetId, now: Millis) {
-        let tries = self
+    /// Counts a join that was not accepted. The group is given up after
+    /// [`forming::MAX_JOIN_ATTEMPTS`] of them.
+    fn count_attempt(&mut self, group: &GroupRef, target: &TargetId, now: Millis) {
+        let attempts = self
             .planned
             .get_mut(group)
-            .map_or(0, |p| p.note_try(target));
-        if tries >= forming::MAX_TRIES {
+            .map_or(0, |p| p.record_attempt(target));
+        if attempts >= forming::MAX_JOIN_ATTEMPTS {
             self.abandon(group, target, now);
         }
     }
@@ -415,11 +424,11 @@
     /// Gives up a group that cannot be completed because of one member.
     fn abandon(&mut self, group: &GroupRef, target: &TargetId, now: Millis) {
         self.planned.remove(group);
-        self.avoid.insert(target.clone(), now);
+        self.avoided.insert(target.clone(), now);
     }
 
-    /// Repeats joins that are still unanswered and drops what is complete or
-    /// can no longer become so.
+    /// Repeats unanswered joins, and drops planned groups that are complete or can no longer become
+    /// so.
     fn advance_planned(
         &mut self,
         view: &FleetView<'_>,
@@ -440,46 +449,49 @@
                 self.abandon(&group, &lost, now);
                 continue;
             }
-            let invited = planned.unjoined(&group, view);
-            let why = "the group is formed";
-            self.invite(&group, &invited, why, view, now, actions);
+            let not_joined = planned.not_joined(&group, view);
+            let reason = "the group is formed";
+            self.order_joins(&group, &not_joined, reason, view, now, actions);
         }
     }
 
     fn is_usable(&self, id: &TargetId, view: &FleetView<'_>) -> bool {
         let listed = view.targets.get(id).is_some_and(|t| !t.leaving);
-        let sound = !self.is_dead(id) && !self.slow.contains(id);
-        listed && sound && !self.avoid.contains_key(id)
+        let healthy = !self.is_dead(id) && !self.slow.contains(id);
+        listed && healthy && !self.avoided.contains_key(id)
     }
 
-    /// Instances that have started again while the group of their earlier life has not
-    /// ended: its leader may serve on until it has noticed.
-    fn bound(&self, view: &FleetView<'_>, survey: &Survey<'_>) -> HashSet<&InstanceId> {
-        let stands = |group: &&GroupRef| survey.groups.contains_key(*group);
-        let groups = self.rosters.keys().filter(stands);
-        let standing = groups.filter(|group| !self.void.contains(*group));
-        let members = standing.flat_map(|group| &self.rosters[group]);
-        let over = members.filter(|id| self.ended.contains(*id));
-        let waiting = self.waiting.values().map(|(life, _)| life);
-        let waiting = waiting.filter(|life| !view.targets.contains_key(*life));
-        over.chain(waiting).map(TargetId::instance).collect()
+    /// Returns instances that have restarted while the group of their earlier incarnation has not
+    /// ended: its leader may serve until it has noticed the loss.
+    fn blocked_instances(&self, view: &FleetView<'_>, survey: &Survey<'_>) -> HashSet<&InstanceId> {
+        let is_observed = |group: &&GroupRef| survey.groups.contains_key(*group);
+        let groups = self.group_members.keys().filter(is_observed);
+        let active = groups.filter(|group| !self.ended_groups.contains(*group));
+        let members = active.flat_map(|group| &self.group_members[group]);
+        let restarted = members.filter(|id| self.superseded.contains(*id));
+        let waiting = self
+            .blocked_until
+            .values()
+            .map(|(incarnation, _)| incarnation);
+        let waiting = waiting.filter(|incarnation| !view.targets.contains_key(*incarnation));
+        restarted.chain(waiting).map(TargetId::instance).collect()
     }
 
-    /// Leaves only targets that can be planned with now.
-    fn drop_taken(&self, free: &mut BTreeSet<TargetId>, view: &FleetView<'_>, now: Millis) {
+    /// Removes the targets that cannot be used for a new group now.
+    fn remove_busy(&self, free: &mut BTreeSet<TargetId>, view: &FleetView<'_>, now: Millis) {
         for planned in self.planned.values() {
             for id in &planned.members {
                 free.remove(id);
             }
         }
         let busy = |id: &TargetId| {
-            let slot = (id.clone(), "stage");
-            self.given
-                .get(&slot)
+            let key = (id.clone(), "stage");
+            self.last_orders
+                .get(&key)
                 .is_some_and(|at| now - *at < ORDER_RETRY_INTERVAL)
         };
-        let exposed = |id: &TargetId| self.revisions.is_exposed(id, now);
-        free.retain(|id| self.is_usable(id, view) && !busy(id) && !exposed(id));
+        let may_take_stale = |id: &TargetId| self.order_counts.may_take_stale_join(id, now);
+        free.retain(|id| self.is_usable(id, view) && !busy(id) && !may_take_stale(id));
     }
 
     fn next_group(&mut self, view: &FleetView<'_>) -> GroupRef {
@@ -497,8 +509,8 @@
     }
 }
 
-/// Whether a listed target shows another group than this one, or none.
+/// Returns whether a listed target shows a group other than this one, or none.
 fn is_elsewhere(id: &TargetId, group: &GroupRef, targets: &HashMap<TargetId, Target>) -> bool {
-    let of = |t: &Target| t.member.as_ref().is_none_or(|m| m.of != *group);
-    targets.get(id).is_some_and(of)
+    let differs = |t: &Target| t.member.as_ref().is_none_or(|m| m.of != *group);
+    targets.get(id).is_some_and(differs)
 }
--- a/crates/thistlesill-policy/src/edge/fleet/census.rs
+++ b/crates/thistlesill-policy/src/edge/fleet/census.rs
@@ -1,4 +1,4 @@
-//! How the fleet stands, for the on-call engineer.
+//! A summary of a fleet's groups and idle targets, for the on-call engineer.
 
 use std::collections::BTreeMap;
 use std::fmt::{self, Display, Formatter};
@@ -6,51 +6,51 @@
 use thistlesill_core::edge::{MemberState, ModelPlan, Target};
 use thistlesill_core::{DomainId, Model};
 
-use super::demand::fair_groups;
+use super::demand::desired_groups;
 use super::{FleetPlanner, FleetView};
 
-/// The groups of one model.
+/// Summary of the groups of one model.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ModelCensus {
-    /// The model.
+    /// The model that the groups run.
     pub model: Model,
     /// Groups that take requests.
     pub open: usize,
-    /// Groups that the model should have.
+    /// Groups that the model should have, with fractions.
     pub desired: f64,
-    /// The work that it is asked for; 1 keeps one group fully busy.
+    /// Demand for the model, in groups: 1 keeps one group fully busy.
     pub demand: f64,
 }
 
-/// The targets of one fabric domain.
+/// Summary of the targets of one fabric domain.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct DomainCensus {
-    /// Targets that are listed and do not leave.
+    /// Listed targets that are not shutting down.
     pub listed: usize,
-    /// Those in no group that takes requests.
+    /// Listed targets that are in no group that takes requests.
     pub idle: usize,
-    /// Idle ones that take over weights, or whose group ends what it has.
+    /// Idle targets that are loading weights, or whose group finishes its running requests.
     pub transitioning: usize,
-    /// Idle ones by the weights on their hosts.
+    /// Idle targets, by the model whose weights were last staged on their host.
     pub staged: BTreeMap<Option<Model>, usize>,
 }
 
-/// How a service's fleet stands.
+/// Summary of a service's fleet.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Census {
-    /// By model.
+    /// Groups by model.
     pub models: Vec<ModelCensus>,
-    /// By fabric domain.
+    /// Targets by fabric domain; `None` holds the targets without one.
     pub domains: BTreeMap<Option<DomainId>, DomainCensus>,
 }
 
 impl Census {
-    /// Targets in no group that takes requests.
+    /// Returns the number of targets in no group that takes requests.
     pub fn idle(&self) -> usize {
         self.domains.values().map(|d| d.idle).sum()
     }
 
-    /// Groups that are missing, over all models.
+    /// Returns the number of groups that are missing, summed over all models.
     pub fn missing(&self) -> f64 {
         let missing = |m: &ModelCensus| (m.desired.floor() - m.open as f64).max(0.0);
         self.models.iter().map(missing).sum()
@@ -82,7 +82,7 @@
 }
 
 impl FleetPlanner {
-    /// How the fleet stands now.
+    /// Returns a summary of the fleet's present state.
     pub fn census(&self, view: &FleetView<'_>) -> Census {
         let models = view.engine.models.iter();
         Census {
@@ -96,7 +96,7 @@
         ModelCensus {
             model: plan.model.clone(),
             open: view.targets.values().filter(leads).count(),
-            desired: fair_groups(view, plan, self.usable),
+            desired: desired_groups(view, plan, self.usable_targets),
             demand: view.demand.get(&plan.model).copied().unwrap_or(0.0),
         }
     }
@@ -124,8 +124,8 @@
         }
         domain.idle += 1;
         let state = target.member.as_ref().map(|m| m.state);
-        let moving = matches!(state, Some(MemberState::Joining | MemberState::Closing));
-        domain.transitioning += usize::from(moving);
+        let transitioning = matches!(state, Some(MemberState::Joining | MemberState::Closing));
+        domain.transitioning += usize::from(transitioning);
         let model = target.staged.last().cloned();
         *domain.staged.entry(model).or_default() += 1;
     }
--- a/crates/thistlesill-policy/src/edge/fleet/conversion.rs
+++ b/crates/thistlesill-policy/src/edge/fleet/conversion.rs
@@ -1,65 +1,65 @@
-//! Groups that give way to a model that is asked for more.
+//! Conversion of groups to a model with more demand.
 //!
-//! When callers ask for other models than the fleet is divided for, a model can
-//! be short although others have groups to spare. Then the members of such
-//! groups load the short model's weights to their hosts while they go on
-//! serving, and only when all have them do their groups end. The model that
-//! gives keeps its groups for as long as the load takes, and the one that takes
-//! is without them for a drain and a join.
+//! When demand shifts between models, one model can lack groups while others have more than they
+//! need. The members of such groups then stage the short model's weights on their hosts while they
+//! continue to serve, and their groups are closed only when all members have the weights. The model
+//! that loses groups keeps them for the time of the load, and the model that gains them waits for a
+//! drain and a join.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use thistlesill_core::edge::{GroupRef, MemberState, ModelPlan, Target, TargetId};
 use thistlesill_core::{DomainId, Millis, Model};
 
-use super::demand::{fair_groups, needed_groups, shortage};
-use super::forming::{BELOW_FAIR, by_domain};
-use super::survey::{Standing, Survey};
+use super::demand::{desired_groups, needed_groups, shortage};
+use super::forming::{SHORTAGE_THRESHOLD, by_domain};
+use super::survey::{ObservedGroup, Survey};
 use super::{FleetAction, FleetPlanner, FleetView};
 
-/// How many times its groups a model's work must call for until groups of others
-/// give way: a change costs its targets some seconds, and spares.
-const CONVERT_SHORT: f64 = 1.15;
-/// How long a model must have been that short: a lost group is replaced within
-/// two to three seconds, and that is no reason for a change.
-const CONVERT_AFTER: Millis = Millis::new(3_000);
-/// How long a group that gave way stays closed while its members have not joined
-/// another: their join takes a second or two. Without this the groups of a model whose
-/// places were full were opened again, and gave way anew, 4 times in 7 s, so that neither
-/// model had them (a planner before 165 targets).
-const GIVEN: Millis = Millis::new(4_000);
-/// Groups that must be missing at least, so that rounding makes no change.
-const CONVERT_MISSING: f64 = 0.6;
+/// Ratio of the groups that a model's demand calls for to the groups that it has, from which on
+/// groups of other models are converted. A conversion costs its targets some seconds, and uses up
+/// spares.
+const CONVERSION_DEMAND_RATIO: f64 = 1.15;
+/// How long a model must have lacked groups before a conversion. A lost group is replaced within
+/// two to three seconds and needs no conversion.
+const CONVERSION_DELAY: Millis = Millis::new(3_000);
+/// How long a converted group stays closed while its members have not joined another one. Their
+/// join takes a second or two. Without this limit the groups of a model at full occupancy were
+/// opened again and converted anew, 4 times in 7 s, so that neither model had them (a planner with
+/// 165 targets).
+const CONVERTED_RETENTION: Millis = Millis::new(4_000);
+/// Smallest number of missing groups for a conversion, so that rounding causes none.
+const MIN_MISSING_GROUPS: f64 = 0.6;
 
-/// Some groups that are to become one of another model.
+/// Groups whose members are to form one group of another model.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct Conversion {
-    /// The model that is short.
+    /// The model that lacks groups.
     model: Model,
-    /// Groups that give way.
+    /// Groups to be closed.
     groups: BTreeSet<GroupRef>,
-    /// Targets that load the model's weights.
+    /// Targets that stage the model's weights.
     members: BTreeSet<TargetId>,
 }
 
-/// What conversions can still use.
-struct Room<'a> {
+/// Targets and groups that no conversion uses yet.
+struct Available<'a> {
     /// Idle targets, by domain.
     idle: BTreeMap<Option<&'a DomainId>, Vec<&'a Target>>,
-    /// Groups that give way already.
-    given: BTreeSet<GroupRef>,
+    /// Groups that a conversion uses already.
+    converting: BTreeSet<GroupRef>,
 }
 
-impl<'a> Room<'a> {
+impl<'a> Available<'a> {
     fn new(view: &FleetView<'a>, free: &BTreeSet<TargetId>) -> Self {
         Self {
             idle: by_domain(view, free),
-            given: BTreeSet::new(),
+            converting: BTreeSet::new(),
         }
     }
 
-    /// Takes out what a conversion uses, and counts its groups as converted.
-    fn take(
+    /// Removes the targets and groups that a conversion uses, and counts its groups as converted.
+    fn reserve(
         &mut self,
         conversion: &Conversion,
         view: &FleetView<'_>,
@@ -70,24 +70,24 @@
             targets.retain(|t| !conversion.members.contains(&t.id));
         }
         for group in &conversion.groups {
-            let standing = survey.groups.get(group);
-            if let Some(plan) = standing.and_then(|s| s.plan(view)) {
+            let observed = survey.groups.get(group);
+            if let Some(plan) = observed.and_then(|s| s.plan(view)) {
                 let count = counts.entry(plan.model.clone()).or_default();
                 *count = count.saturating_sub(1);
             }
-            self.given.insert(group.clone());
+            self.converting.insert(group.clone());
         }
         *counts.entry(conversion.model.clone()).or_default() += 1;
     }
 }
 
 impl FleetPlanner {
-    /// Whether a group ends so that another model gets its members.
-    pub(super) fn gives_way(&self, group: &GroupRef) -> bool {
-        self.yielding.contains(group)
+    /// Returns whether a group is closed because its members are needed for another model.
+    pub(super) fn is_converting(&self, group: &GroupRef) -> bool {
+        self.converting.contains(group)
     }
 
-    /// Whether a model is so short that groups of others give way.
+    /// Returns whether a model lacks so many groups that groups of other models are converted.
     pub(super) fn needs_conversion(
         &self,
         view: &FleetView<'_>,
@@ -95,12 +95,13 @@
         groups: usize,
     ) -> bool {
         let groups = groups as f64;
-        let missing = fair_groups(view, plan, self.usable) - groups;
-        missing >= CONVERT_MISSING && needed_groups(view, plan) >= CONVERT_SHORT * groups
+        let missing = desired_groups(view, plan, self.usable_targets) - groups;
+        missing >= MIN_MISSING_GROUPS
+            && needed_groups(view, plan) >= CONVERSION_DEMAND_RATIO * groups
     }
 
-    /// Begins, goes on with or drops conversions of groups to short models.
-    pub(super) fn convert(
+    /// Begins, continues or drops conversions of groups to models that lack groups.
+    pub(super) fn convert_groups(
         &mut self,
         view: &FleetView<'_>,
         survey: &Survey<'_>,
@@ -109,39 +110,45 @@
         actions: &mut Vec<FleetAction>,
     ) {
         let open = |group: &GroupRef| {
-            let standing = survey.groups.get(group);
-            standing.and_then(Standing::leader_state) == Some(MemberState::Open)
+            let observed = survey.groups.get(group);
+            observed.and_then(ObservedGroup::leader_state) == Some(MemberState::Open)
         };
-        self.yielding.retain(open);
-        self.gave_way.retain(|_, at| now - *at < GIVEN);
-        if view.before_traffic || !self.yielding.is_empty() {
+        self.converting.retain(open);
+        self.converted_at
+            .retain(|_, at| now - *at < CONVERTED_RETENTION);
+        if view.before_traffic || !self.converting.is_empty() {
             return;
         }
         let mut counts = self.count_groups(view, survey);
-        self.note_short(view, &counts, now);
-        let mut room = Room::new(view, free);
+        self.update_short_since(view, &counts, now);
+        let mut available = Available::new(view, free);
         let mut conversions = std::mem::take(&mut self.conversions);
         conversions.retain(|conversion| {
             let usable = conversion.members.iter().all(|id| self.is_usable(id, view));
-            let whole = usable && conversion.groups.iter().all(open);
-            let goes_on = whole && self.is_wanted(view, conversion, &counts);
-            if goes_on {
-                room.take(conversion, view, survey, &mut counts);
+            let complete = usable && conversion.groups.iter().all(open);
+            let continues = complete && self.is_needed(view, conversion, &counts);
+            if continues {
+                available.reserve(conversion, view, survey, &mut counts);
             }
-            goes_on
+            continues
         });
-        while let Some(conversion) = self.best_conversion(view, survey, &room, &counts, now) {
-            room.take(&conversion, view, survey, &mut counts);
+        while let Some(conversion) = self.best_conversion(view, survey, &available, &counts, now) {
+            available.reserve(&conversion, view, survey, &mut counts);
             conversions.push(conversion);
         }
-        conversions.retain(|conversion| !self.tend_conversion(view, conversion, now, actions));
-        let given = self.yielding.iter().map(|group| (group.clone(), now));
-        self.gave_way.extend(given);
+        conversions.retain(|conversion| !self.advance_conversion(view, conversion, now, actions));
+        let converted = self.converting.iter().map(|group| (group.clone(), now));
+        self.converted_at.extend(converted);
         self.conversions = conversions;
     }
 
-    /// Notes since when each model has been short.
-    fn note_short(&mut self, view: &FleetView<'_>, counts: &BTreeMap<Model, usize>, now: Millis) {
+    /// Updates since when each model has lacked groups.
+    fn update_short_since(
+        &mut self,
+        view: &FleetView<'_>,
+        counts: &BTreeMap<Model, usize>,
+        now: Millis,
+    ) {
         for plan in &view.engine.models {
             let groups = counts.get(&plan.model).copied().unwrap_or(0);
             if self.needs_conversion(view, plan, groups) {
@@ -152,8 +159,8 @@
         }
     }
 
-    /// Whether a conversion still helps.
-    fn is_wanted(
+    /// Returns whether the model of a conversion still lacks groups.
+    fn is_needed(
         &self,
         view: &FleetView<'_>,
         conversion: &Conversion,
@@ -164,9 +171,9 @@
         plan.is_some_and(|plan| self.needs_conversion(view, plan, groups))
     }
 
-    /// Has the targets of a conversion load; returns whether all have the weights,
-    /// so that its groups end.
-    fn tend_conversion(
+    /// Has the targets of a conversion load the weights. Returns whether all of them have the
+    /// weights, so that their groups are closed.
+    fn advance_conversion(
         &mut self,
         view: &FleetView<'_>,
         conversion: &Conversion,
@@ -182,19 +189,19 @@
             .filter_map(|id| view.targets.get(id));
         let cold: Vec<&Target> = members.filter(|t| !self.is_warm(t, plan)).collect();
         if cold.is_empty() {
-            self.yielding.extend(conversion.groups.iter().cloned());
+            self.converting.extend(conversion.groups.iter().cloned());
             return true;
         }
-        self.load_for(view, plan, &cold, now, actions);
+        self.load_members(view, plan, &cold, now, actions);
         false
     }
 
-    /// Before the first requests, when a load takes a tenth of its time, has
-    /// members of smaller groups hold the weights of the largest model, so that
-    /// they can change to it within seconds together with idle targets, which
-    /// hold it, too. Members of the largest model's groups keep its weights: when
-    /// a domain comes back, it takes the longest to load. Trials in which they
-    /// held another model lost 0.015 of the worth at 171 targets.
+    /// Has members of smaller groups stage the weights of the largest model before the first
+    /// requests, when a load takes a tenth of its usual time. Together with idle targets, which
+    /// also hold these weights, such members can change to the largest model within seconds.
+    /// Members of the largest model's groups keep its weights: when a domain comes back, that model
+    /// takes the longest to load. Trials in which they held another model lost 0.015 of the worth
+    /// score at 171 targets.
     pub(super) fn stage_members(
         &mut self,
         view: &FleetView<'_>,
@@ -205,10 +212,10 @@
         let Some(largest) = view.engine.models.iter().max_by_key(|plan| plan.size) else {
             return;
         };
-        for standing in survey.groups.values() {
-            let smaller = standing.plan(view).is_some_and(|p| p.size < largest.size);
-            if smaller && standing.leader.is_some_and(Target::is_open_leader) {
-                self.stage_group(largest, standing, now, actions);
+        for observed in survey.groups.values() {
+            let smaller = observed.plan(view).is_some_and(|p| p.size < largest.size);
+            if smaller && observed.leader.is_some_and(Target::is_open_leader) {
+                self.stage_group(largest, observed, now, actions);
             }
         }
     }
@@ -216,20 +223,20 @@
     fn stage_group(
         &mut self,
         plan: &ModelPlan,
-        standing: &Standing<'_>,
+        observed: &ObservedGroup<'_>,
         now: Millis,
         actions: &mut Vec<FleetAction>,
     ) {
-        for target in &standing.members {
+        for target in &observed.members {
             if self.is_warm(target, plan) || self.staging.contains_key(&target.id) {
                 continue;
             }
-            let why = "a member holds the weights of another model ready";
-            self.give_load(target, plan, why, now, actions);
+            let reason = "a member stages the weights of another model";
+            self.order_load(target, plan, reason, now, actions);
         }
     }
 
-    fn load_for(
+    fn load_members(
         &mut self,
         view: &FleetView<'_>,
         plan: &ModelPlan,
@@ -241,38 +248,39 @@
             if self.staging.contains_key(&target.id) || !self.may_load(view, now) {
                 continue;
             }
-            self.loads.note(1, now);
-            let why = "its group is to give way to a model that is asked for more";
-            self.give_load(target, plan, why, now, actions);
+            self.load_rate.record_starts(1, now);
+            let reason = "its group will be converted to a model with more demand";
+            self.order_load(target, plan, reason, now, actions);
         }
     }
 
-    /// The conversion that costs least for the model that is shortest.
+    /// Returns the conversion with the fewest loads for the model that lacks most groups.
     fn best_conversion(
         &self,
         view: &FleetView<'_>,
         survey: &Survey<'_>,
-        room: &Room<'_>,
+        available: &Available<'_>,
         counts: &BTreeMap<Model, usize>,
         now: Millis,
     ) -> Option<Conversion> {
-        let plan = self.shortest(view, counts, now)?;
+        let plan = self.scarcest_model(view, counts, now)?;
         let size = plan.size as usize;
-        if room.idle.values().any(|targets| targets.len() >= size) {
-            // Idle targets form the next group, or are loading to form it.
+        if available.idle.values().any(|targets| targets.len() >= size) {
+            // Idle targets form the next group, or are loading weights to form it.
             return None;
         }
-        let domains = self.spared_groups(view, survey, room, plan, counts);
+        let domains = self.convertible_groups(view, survey, available, plan, counts);
         let conversions = domains.iter().filter_map(|(domain, groups)| {
-            let idle = room.idle.get(domain).map_or(&[][..], Vec::as_slice);
-            self.conversion_in(view, plan, idle, groups, counts)
+            let idle = available.idle.get(domain).map_or(&[][..], Vec::as_slice);
+            self.domain_conversion(view, plan, idle, groups, counts)
         });
         let best = conversions.min_by_key(|(cost, _)| *cost);
         best.map(|(_, conversion)| conversion)
     }
 
-    /// The model that has been short for long enough and is so most.
-    fn shortest<'v>(
+    /// Returns the model with the largest shortage among those that have lacked groups for long
+    /// enough.
+    fn scarcest_model<'v>(
         &self,
         view: &FleetView<'v>,
         counts: &BTreeMap<Model, usize>,
@@ -281,101 +289,104 @@
         let count = |plan: &ModelPlan| counts.get(&plan.model).copied().unwrap_or(0);
         let short = |plan: &&ModelPlan| {
             let since = self.short_since.get(&plan.model);
-            let long = since.is_some_and(|at| now - *at >= CONVERT_AFTER);
+            let long = since.is_some_and(|at| now - *at >= CONVERSION_DELAY);
             long && self.needs_conversion(view, plan, count(plan))
         };
         let plans = view.engine.models.iter().filter(short);
         plans.max_by(|a, b| {
-            let short = |plan| shortage(view, plan, count(plan), self.usable);
+            let short = |plan| shortage(view, plan, count(plan), self.usable_targets);
             short(a).total_cmp(&short(b))
         })
     }
 
-    /// The groups that can give way to a model, by domain.
-    fn spared_groups<'s, 'a>(
+    /// Returns the groups that can be converted to a model, by domain.
+    fn convertible_groups<'s, 'a>(
         &self,
         view: &FleetView<'_>,
         survey: &'s Survey<'a>,
-        room: &Room<'_>,
+        available: &Available<'_>,
         plan: &ModelPlan,
         counts: &BTreeMap<Model, usize>,
-    ) -> BTreeMap<Option<&'a DomainId>, Vec<(&'s GroupRef, &'s Standing<'a>)>> {
+    ) -> BTreeMap<Option<&'a DomainId>, Vec<(&'s GroupRef, &'s ObservedGroup<'a>)>> {
         let mut domains: BTreeMap<_, Vec<_>> = BTreeMap::new();
         let open = survey.groups.iter();
-        for (group, standing) in open.filter(|(group, _)| !room.given.contains(*group)) {
-            if let Some(leader) = self.spared_leader(view, standing, plan, counts) {
+        for (group, observed) in open.filter(|(group, _)| !available.converting.contains(*group)) {
+            if let Some(leader) = self.convertible_leader(view, observed, plan, counts) {
                 let groups = domains.entry(leader.domain.as_ref()).or_default();
-                groups.push((group, standing));
+                groups.push((group, observed));
             }
         }
         domains
     }
 
-    /// The leader of a serving group whose model can do with a group fewer.
-    fn spared_leader<'a>(
+    /// Returns the leader of a serving group if one group fewer suffices for its model.
+    fn convertible_leader<'a>(
         &self,
         view: &FleetView<'_>,
-        standing: &Standing<'a>,
+        observed: &ObservedGroup<'a>,
         short: &ModelPlan,
         counts: &BTreeMap<Model, usize>,
     ) -> Option<&'a Target> {
-        let plan = standing.plan(view)?;
-        let leader = standing.leader.filter(|t| t.is_open_leader())?;
+        let plan = observed.plan(view)?;
+        let leader = observed.leader.filter(|t| t.is_open_leader())?;
         if view.is_evacuated(leader) {
             return None;
         }
-        let sound = |t: &Target| self.is_usable(&t.id, view) && t.domain == leader.domain;
-        let whole = standing.members.iter().all(|t| sound(t));
-        let gives = plan.model != short.model && self.can_spare(view, plan, counts) >= 1;
-        (whole && gives).then_some(leader)
+        let healthy = |t: &Target| self.is_usable(&t.id, view) && t.domain == leader.domain;
+        let complete = observed.members.iter().all(|t| healthy(t));
+        let is_convertible =
+            plan.model != short.model && self.convertible_count(view, plan, counts) >= 1;
+        (complete && is_convertible).then_some(leader)
     }
 
-    /// How many groups a model can do without: none while its own work calls for all of
-    /// them, even if all models must do with less than they need.
+    /// Returns how many groups a model can lose: none while its own demand calls for all of them,
+    /// even if all models have fewer than they need.
     ///
-    /// Where a short model gave way to a shorter one, both were without the groups during the
-    /// change. With one model asked for four times as often for 11 s, worth is 0.023, 0.012
-    /// and 0.007 higher on three deployments if short models give nothing and groups that
-    /// gave way stay closed (four plays each, paired; errors of 0.007 to 0.008).
-    fn can_spare(
+    /// When groups of a model with a shortage were converted to a model with a larger one, both
+    /// models lacked them during the change. With one model asked for four times as often for 11 s,
+    /// the worth score is 0.023, 0.012 and 0.007 higher on three deployments if models with a
+    /// shortage lose no groups and converted groups stay closed (four runs each, paired; errors of
+    /// 0.007 to 0.008).
+    fn convertible_count(
         &self,
         view: &FleetView<'_>,
         plan: &ModelPlan,
         counts: &BTreeMap<Model, usize>,
     ) -> usize {
         let groups = counts.get(&plan.model).copied().unwrap_or(0);
-        let own = fair_groups(view, plan, self.usable).max(needed_groups(view, plan));
-        let keeps = (own / BELOW_FAIR).ceil() as usize;
-        groups.saturating_sub(keeps.max(1))
+        let required =
+            desired_groups(view, plan, self.usable_targets).max(needed_groups(view, plan));
+        let kept = (required / SHORTAGE_THRESHOLD).ceil() as usize;
+        groups.saturating_sub(kept.max(1))
     }
 
-    /// The conversion in one domain, with the loads that it needs; `None` if its
-    /// idle targets and the groups that can give way do not suffice.
-    fn conversion_in(
+    /// Returns the conversion in one domain with the number of loads that it needs, or `None` if
+    /// its idle targets and the groups that can be converted do not suffice.
+    fn domain_conversion(
         &self,
         view: &FleetView<'_>,
         plan: &ModelPlan,
         idle: &[&Target],
-        groups: &[(&GroupRef, &Standing<'_>)],
+        groups: &[(&GroupRef, &ObservedGroup<'_>)],
         counts: &BTreeMap<Model, usize>,
     ) -> Option<(usize, Conversion)> {
         let size = plan.size as usize;
         let mut members: Vec<&Target> = idle.to_vec();
-        let mut giving = BTreeSet::new();
-        let mut given: BTreeMap<&Model, usize> = BTreeMap::new();
-        for (group, standing) in groups {
+        let mut converted = BTreeSet::new();
+        let mut converted_counts: BTreeMap<&Model, usize> = BTreeMap::new();
+        for (group, observed) in groups {
             if members.len() >= size {
                 break;
             }
-            let plan = standing.plan(view)?;
-            let count = given.entry(&plan.model).or_default();
-            if *count < self.can_spare(view, plan, counts) {
+            let plan = observed.plan(view)?;
+            let count = converted_counts.entry(&plan.model).or_default();
+            if *count < self.convertible_count(view, plan, counts) {
                 *count += 1;
-                giving.insert((*group).clone());
-                members.extend(&standing.members);
+                converted.insert((*group).clone());
+                members.extend(&observed.members);
             }
         }
-        if members.len() < size || giving.is_empty() {
+        if members.len() < size || converted.is_empty() {
             return None;
         }
         members.sort_by_key(|t| (!self.is_warm(t, plan), t.id.clone()));
@@ -383,7 +394,7 @@
         let cold = members.iter().filter(|t| !self.is_warm(t, plan)).count();
         let conversion = Conversion {
             model: plan.model.clone(),
-            groups: giving,
+            groups: converted,
             members: members.iter().map(|t| t.id.clone()).collect(),
         };
         Some((cold, conversion))
--- a/crates/thistlesill-policy/src/edge/fleet/forming.rs
+++ b/crates/thistlesill-policy/src/edge/fleet/forming.rs
@@ -1,4 +1,4 @@
-//! Which new groups are formed, and what the spare targets hold ready.
+//! Selection and formation of new groups.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -7,68 +7,68 @@
 use thistlesill_core::{DomainId, Millis, Model};
 
 use super::demand::shortage;
-use super::loads::most_calm;
+use super::loads::max_initial_loads;
 use super::survey::Survey;
 use super::{DOMAIN_SETTLE_TIME, FleetAction, FleetPlanner, FleetView};
 
-/// The kind of order by which a target joins a group.
-const JOIN: &str = "join";
-/// Times that a join is given before its target is passed over.
-pub(super) const MAX_TRIES: u32 = 4;
-/// Above this shortage a model's groups may use the last spares of a domain.
-pub(super) const BELOW_FAIR: f64 = 1.05;
-/// Up to this shortage no more groups of a model are formed: it has its fair
-/// part, and what is left stands by.
-const AMPLE: f64 = 1.0;
-/// Targets of a domain that stand by unless a model is short.
-const SPARES: usize = 2;
+/// Name of the order by which a target joins a group.
+const JOIN_ORDER: &str = "join";
+/// Joins that a target may fail to accept before its group is given up and the target avoided.
+pub(super) const MAX_JOIN_ATTEMPTS: u32 = 4;
+/// Shortage above which a model's groups may use the last spares of a domain.
+pub(super) const SHORTAGE_THRESHOLD: f64 = 1.05;
+/// Shortage up to which no further groups of a model are formed: the model has its desired number,
+/// and the remaining targets are spares.
+const MIN_SHORTAGE: f64 = 1.0;
+/// Spare targets of a domain that are left unless a model lacks groups.
+const SPARES_PER_DOMAIN: usize = 2;
 
-/// A group that was decided on and is not yet shown by all its members.
+/// A group that the planner has decided to form and that not all members show yet.
 #[derive(Debug)]
-pub(super) struct Planned {
+pub(super) struct PlannedGroup {
     pub(super) members: Vec<TargetId>,
     pub(super) model: Model,
-    /// Members that took the order to join.
-    pub(super) taken: BTreeSet<TargetId>,
-    /// Whether it waits to be wanted once it is complete.
+    /// Members that accepted the order to join.
+    pub(super) accepted: BTreeSet<TargetId>,
+    /// Whether the group stays closed once it is complete, until it is needed.
     pub(super) standby: bool,
-    /// Joins that a member did not take.
-    tries: BTreeMap<TargetId, u32>,
+    /// Joins that each member did not accept.
+    attempts: BTreeMap<TargetId, u32>,
 }
 
-impl Planned {
+impl PlannedGroup {
     pub(super) fn new(plan: &ModelPlan, members: &[&Target]) -> Self {
         Self {
             members: members.iter().map(|t| t.id.clone()).collect(),
             model: plan.model.clone(),
-            taken: BTreeSet::new(),
+            accepted: BTreeSet::new(),
             standby: false,
-            tries: BTreeMap::new(),
+            attempts: BTreeMap::new(),
         }
     }
 
-    /// The same, for a group that stands by.
-    pub(super) fn standing_by(self) -> Self {
+    /// Marks the group as a standby group.
+    pub(super) fn into_standby(self) -> Self {
         Self {
             standby: true,
             ..self
         }
     }
 
-    /// Counts a join that a member did not take, and returns how many it did not.
-    pub(super) fn note_try(&mut self, target: &TargetId) -> u32 {
-        let count = self.tries.entry(target.clone()).or_default();
+    /// Counts a join that a member did not accept, and returns the number of such joins.
+    pub(super) fn record_attempt(&mut self, target: &TargetId) -> u32 {
+        let count = self.attempts.entry(target.clone()).or_default();
         *count += 1;
         *count
     }
 
-    /// Whether all members show the group.
-    pub(super) fn is_shown(&self, group: &GroupRef, view: &FleetView<'_>) -> bool {
-        self.members.iter().all(|id| shows(id, group, view))
+    /// Returns whether the entries of all members show the group.
+    pub(super) fn all_members_show(&self, group: &GroupRef, view: &FleetView<'_>) -> bool {
+        self.members.iter().all(|id| is_listed_in(id, group, view))
     }
 
-    /// Whether the group needs no more orders: it takes requests, or it stands
-    /// by.
+    /// Returns whether the group needs no more orders: it takes requests, or it is a complete
+    /// standby group.
     pub(super) fn is_done(&self, group: &GroupRef, view: &FleetView<'_>) -> bool {
         let ready = |id: &TargetId| {
             let member = view.targets.get(id).and_then(|t| t.member.as_ref());
@@ -78,16 +78,17 @@
             return self.members.iter().all(ready);
         }
         let leader = self.members.first().and_then(|id| view.targets.get(id));
-        leader.is_some_and(|t| shows(&t.id, group, view) && t.is_open_leader())
+        leader.is_some_and(|t| is_listed_in(&t.id, group, view) && t.is_open_leader())
     }
 
-    /// The members that neither show the group nor took the order to join it.
-    pub(super) fn unjoined(&self, group: &GroupRef, view: &FleetView<'_>) -> Vec<TargetId> {
-        let open = |id: &&TargetId| !self.taken.contains(*id) && !shows(id, group, view);
-        self.members.iter().filter(open).cloned().collect()
+    /// Returns the members that neither show the group nor accepted the order to join it.
+    pub(super) fn not_joined(&self, group: &GroupRef, view: &FleetView<'_>) -> Vec<TargetId> {
+        let pending =
+            |id: &&TargetId| !self.accepted.contains(*id) && !is_listed_in(id, group, view);
+        self.members.iter().filter(pending).cloned().collect()
     }
 
-    /// The order to join, for a member that has taken some orders before.
+    /// Returns the order to join for a member that has taken `orders_taken` orders before.
     fn join(&self, group: &GroupRef, orders_taken: u64) -> Order {
         Order::Join {
             to: group.clone(),
@@ -98,7 +99,7 @@
     }
 }
 
-fn shows(id: &TargetId, group: &GroupRef, view: &FleetView<'_>) -> bool {
+fn is_listed_in(id: &TargetId, group: &GroupRef, view: &FleetView<'_>) -> bool {
     let member = view.targets.get(id).and_then(|t| t.member.as_ref());
     member.is_some_and(|m| m.of == *group)
 }
@@ -108,28 +109,28 @@
 struct Candidate<'a> {
     plan: &'a ModelPlan,
     members: Vec<&'a Target>,
-    /// Members that must load the weights from afar.
+    /// Members that must load the weights from the weight store.
     cold: usize,
     shortage: f64,
     /// Free targets that remain in the domain.
-    left: usize,
+    remaining: usize,
 }
 
 impl Candidate<'_> {
-    /// How badly the group fits its domain: best is one that leaves just the
-    /// spares, so that domains with room are kept for larger groups.
+    /// Returns how badly the group fits its domain. A group that leaves exactly the spares fits
+    /// best, so that domains with more free targets are kept for larger groups.
     const fn waste(&self) -> usize {
-        if self.left >= SPARES {
-            self.left - SPARES
+        if self.remaining >= SPARES_PER_DOMAIN {
+            self.remaining - SPARES_PER_DOMAIN
         } else {
-            usize::MAX - self.left
+            usize::MAX - self.remaining
         }
     }
 }
 
 impl FleetPlanner {
-    /// Forms as many groups as the work calls for and the targets allow.
-    pub(super) fn form(
+    /// Forms as many groups as the demand calls for and the targets allow.
+    pub(super) fn form_groups(
         &mut self,
         view: &FleetView<'_>,
         survey: &Survey<'_>,
@@ -137,7 +138,7 @@
         now: Millis,
         actions: &mut Vec<FleetAction>,
     ) {
-        self.held_back = false;
+        self.formation_deferred = false;
         loop {
             let counts = self.count_groups(view, survey);
             let Some(best) = self.best_candidate(view, free, &counts, now) else {
@@ -146,66 +147,71 @@
             for target in &best.members {
                 free.remove(&target.id);
             }
-            let planned = Planned::new(best.plan, &best.members);
-            self.loads.note(best.cold, now);
-            let why = "the model is short of groups";
-            self.give_joins(planned, &best.members, why, now, actions, view);
+            let planned = PlannedGroup::new(best.plan, &best.members);
+            self.load_rate.record_starts(best.cold, now);
+            let reason = "the model lacks groups";
+            self.start_group(planned, &best.members, reason, now, actions, view);
         }
-        if view.before_traffic && !self.held_back && now - self.grown >= DOMAIN_SETTLE_TIME {
+        if view.before_traffic
+            && !self.formation_deferred
+            && now - self.last_appeared >= DOMAIN_SETTLE_TIME
+        {
             self.form_standby(view, free, now, actions);
         }
     }
 
     /// Plans a group and has its members join it.
-    pub(super) fn give_joins(
+    pub(super) fn start_group(
         &mut self,
-        planned: Planned,
+        planned: PlannedGroup,
         members: &[&Target],
-        why: &'static str,
+        reason: &'static str,
         now: Millis,
         actions: &mut Vec<FleetAction>,
         view: &FleetView<'_>,
     ) {
         let group = self.next_group(view);
-        let invited: Vec<TargetId> = members.iter().map(|t| t.id.clone()).collect();
-        for id in &invited {
-            self.given.remove(&(id.clone(), JOIN));
+        let member_ids: Vec<TargetId> = members.iter().map(|t| t.id.clone()).collect();
+        for id in &member_ids {
+            self.last_orders.remove(&(id.clone(), JOIN_ORDER));
         }
         self.formed.insert(group.clone());
         self.planned.insert(group.clone(), planned);
-        self.invite(&group, &invited, why, view, now, actions);
+        self.order_joins(&group, &member_ids, reason, view, now, actions);
     }
 
-    /// Gives members of a planned group the order to join it. One of which it is not known
-    /// how many orders it took is asked for that first.
-    pub(super) fn invite(
+    /// Orders members of a planned group to join it. A member whose number of taken orders is
+    /// unknown is asked for that number first.
+    pub(super) fn order_joins(
         &mut self,
         group: &GroupRef,
         members: &[TargetId],
-        why: &'static str,
+        reason: &'static str,
         view: &FleetView<'_>,
         now: Millis,
         actions: &mut Vec<FleetAction>,
     ) {
         for target in members.iter().filter_map(|id| view.targets.get(id)) {
             let id = &target.id;
-            if view.before_traffic && target.member.is_none() && self.revisions.of(id).is_none() {
-                // Almost certainly none yet; if it did, it refuses and is asked.
-                self.revisions.note_started(id);
+            if view.before_traffic && target.member.is_none() && self.order_counts.get(id).is_none()
+            {
+                // The target has almost certainly taken no order yet. If it has, it refuses the
+                // join and is asked.
+                self.order_counts.record_started(id);
             }
-            let Some(taken) = self.revisions.of(id) else {
-                self.ask_taken(target, now, actions);
+            let Some(taken) = self.order_counts.get(id) else {
+                self.probe_orders_taken(target, now, actions);
                 continue;
             };
             let Some(order) = self.planned.get(group).map(|p| p.join(group, taken)) else {
                 return;
             };
-            self.note_join(id, group);
-            self.give(id.clone(), target.address, order, why, now, actions);
+            self.record_join(id, group);
+            self.send_order(id.clone(), target.address, order, reason, now, actions);
         }
     }
 
-    /// Groups of each model that serve or will serve.
+    /// Returns the number of groups of each model that serve or will serve.
     pub(super) fn count_groups(
         &self,
         view: &FleetView<'_>,
@@ -215,18 +221,18 @@
         for planned in self.planned.values().filter(|p| !p.standby) {
             *counts.entry(planned.model.clone()).or_default() += 1;
         }
-        for (group, standing) in &survey.groups {
-            let useless = standing
+        for (group, observed) in &survey.groups {
+            let is_unusable = observed
                 .leader
                 .is_some_and(|t| self.is_dead(&t.id) || view.is_evacuated(t));
-            let ends = self.cut.contains(group)
+            let is_ending = self.cut.contains(group)
                 || self.standby.contains(group)
-                || self.void.contains(group)
+                || self.ended_groups.contains(group)
                 || self.planned.contains_key(group);
-            if useless || ends || !standing.is_alive() {
+            if is_unusable || is_ending || !observed.can_serve() {
                 continue;
             }
-            if let Some(plan) = standing.plan(view) {
+            if let Some(plan) = observed.plan(view) {
                 *counts.entry(plan.model.clone()).or_default() += 1;
             }
         }
@@ -245,7 +251,7 @@
         for targets in domains.values() {
             for plan in &view.engine.models {
                 let groups = counts.get(&plan.model).copied().unwrap_or(0);
-                let shortage = shortage(view, plan, groups, self.usable);
+                let shortage = shortage(view, plan, groups, self.usable_targets);
                 found.extend(self.candidate(plan, targets, shortage));
             }
         }
@@ -257,36 +263,40 @@
         });
         let short = view.engine.models.iter().any(|plan| {
             let groups = counts.get(&plan.model).copied().unwrap_or(0);
-            shortage(view, plan, groups, self.usable) > BELOW_FAIR
+            shortage(view, plan, groups, self.usable_targets) > SHORTAGE_THRESHOLD
         });
-        // What a short model lacks is not used up for one that has enough.
-        found.retain(|c| !short || view.before_traffic || c.shortage > BELOW_FAIR);
+        // Targets that a short model needs are not used up for a model that has enough.
+        found.retain(|c| !short || view.before_traffic || c.shortage > SHORTAGE_THRESHOLD);
         found.into_iter().find(|c| self.is_allowed(view, c, now))
     }
 
     fn is_allowed(&mut self, view: &FleetView<'_>, candidate: &Candidate<'_>, now: Millis) -> bool {
         let largest = view.engine.models.iter().map(|m| m.size as usize).max();
-        let settled = now - self.grown >= DOMAIN_SETTLE_TIME;
-        // Until all domains are listed, none is filled up.
-        let early = Some(candidate.members.len()) != largest || candidate.left < SPARES;
-        if view.before_traffic && !settled && early {
+        let settled = now - self.last_appeared >= DOMAIN_SETTLE_TIME;
+        // Until all domains are listed, no domain is filled up.
+        let fills_domain =
+            Some(candidate.members.len()) != largest || candidate.remaining < SPARES_PER_DOMAIN;
+        if view.before_traffic && !settled && fills_domain {
             return false;
         }
-        let below = candidate.shortage > BELOW_FAIR;
-        if candidate.shortage <= AMPLE || (candidate.left < SPARES && !below) {
+        let is_short = candidate.shortage > SHORTAGE_THRESHOLD;
+        if candidate.shortage <= MIN_SHORTAGE
+            || (candidate.remaining < SPARES_PER_DOMAIN && !is_short)
+        {
             return false;
         }
         if view.before_traffic {
-            let allowed = self.loading(view) + candidate.cold <= most_calm(view.engine);
-            self.held_back |= !allowed;
+            let allowed =
+                self.count_loading(view) + candidate.cold <= max_initial_loads(view.engine);
+            self.formation_deferred |= !allowed;
             return allowed;
         }
-        // Idle targets load before they join, so that those that hold the
-        // weights already do not wait for them in a group that serves nothing.
+        // Idle targets load before they join, so that targets which already hold the weights do not
+        // wait for them in a group that serves nothing.
         candidate.cold == 0
     }
 
-    /// The best group of a model among a domain's targets, if they suffice.
+    /// Returns the best group of a model among a domain's targets, if there are enough.
     fn candidate<'a>(
         &self,
         plan: &'a ModelPlan,
@@ -298,12 +308,11 @@
             return None;
         }
         let mut sorted: Vec<&'a Target> = targets.to_vec();
-        // Those that wait in no group go first, so that groups that stand by stay
-        // whole.
+        // Targets outside of groups come first, so that standby groups stay complete.
         let rank = |t: &Target| {
             (
                 Reverse(self.warmth(t, plan)),
-                self.stands_by(t),
+                self.in_standby(t),
                 t.id.clone(),
             )
         };
@@ -318,35 +327,36 @@
             members: sorted,
             cold,
             shortage,
-            left: targets.len() - size,
+            remaining: targets.len() - size,
         })
     }
 
-    /// Targets that take over weights now.
-    pub(super) fn loading(&self, view: &FleetView<'_>) -> usize {
+    /// Returns the number of targets that are loading weights, or were ordered to join a group and
+    /// do not show it yet.
+    pub(super) fn count_loading(&self, view: &FleetView<'_>) -> usize {
         let shown = view.targets.values().filter(|t| {
             let member = t.member.as_ref();
             member.is_some_and(|m| m.state == MemberState::Joining)
         });
         let planned = self.planned.iter();
         let unseen =
-            planned.map(|(group, p)| p.members.iter().filter(|id| !shows(id, group, view)));
+            planned.map(|(group, p)| p.members.iter().filter(|id| !is_listed_in(id, group, view)));
         shown.count() + unseen.map(Iterator::count).sum::<usize>()
     }
 
-    /// Whether a target's accelerators hold a model's weights.
+    /// Returns whether a target's accelerators hold a model's weights.
     pub(super) fn is_loaded(&self, target: &Target, plan: &ModelPlan) -> bool {
         self.warmth(target, plan) == Warmth::Loaded
     }
 
-    /// Whether a target can run a model without a load from afar.
+    /// Returns whether a target can run a model without loading weights from the weight store.
     pub(super) fn is_warm(&self, target: &Target, plan: &ModelPlan) -> bool {
         self.warmth(target, plan) != Warmth::Cold
     }
 
     fn warmth(&self, target: &Target, plan: &ModelPlan) -> Warmth {
         let shown = target.model();
-        let last = shown.or_else(|| self.loaded.get(&target.id));
+        let last = shown.or_else(|| self.last_models.get(&target.id));
         if last == Some(&plan.model) {
             Warmth::Loaded
         } else if target.staged.contains(&plan.model) {
@@ -357,7 +367,7 @@
     }
 }
 
-/// The targets of some ids, by domain.
+/// Returns the targets with the given ids, by domain.
 pub(super) fn by_domain<'a>(
     view: &FleetView<'a>,
     ids: &BTreeSet<TargetId>,
--- a/crates/thistlesill-policy/src/edge/fleet/memory.rs
+++ b/crates/thistlesill-policy/src/edge/fleet/memory.rs
@@ -1,4 +1,4 @@
-//! What the planner remembers of targets and groups from one look to the next.
+//! The planner's memory of targets and groups between two steps.
 
 use std::collections::{BTreeSet, HashMap, HashSet};
 
@@ -6,33 +6,33 @@
 use thistlesill_core::{InstanceId, Millis};
 
 use super::{
-    AVOID_TIME, DEAD_TARGET_RETENTION, FleetPlanner, FleetView, LATE_ORDER_TIMEOUT,
+    AVOID_DURATION, DEAD_TARGET_RETENTION, FleetPlanner, FleetView, LATE_ORDER_TIMEOUT,
     PROBE_ROUND_INTERVAL,
 };
 
-/// How long a spare may take until it shows the weights that it was told to
-/// load: the longest load of the known engines, beside several others.
-const STAGING: Millis = Millis::new(60_000);
-/// The first term of the lease; no planner was before.
+/// How long an idle target may take to show the weights that it was ordered to load: the longest
+/// load of the known engines, concurrent with several others.
+const STAGING_TIMEOUT: Millis = Millis::new(60_000);
+/// The first term of the lease, before which there was no planner.
 const FIRST_TERM: u64 = 1;
-/// How long targets that are gone are remembered.
-const FORGET: Millis = Millis::new(30_000);
+/// How long targets that left the list are remembered.
+const MISSING_RETENTION: Millis = Millis::new(30_000);
 
 impl FleetPlanner {
-    /// Follows the fleet without the lease, so that a planner that takes over
-    /// knows who led which group.
+    /// Follows the fleet without holding the lease, so that this planner knows the leader of each
+    /// group when it takes over.
     pub fn watch(&mut self, targets: &HashMap<TargetId, Target>, now: Millis) {
         self.term = None;
         self.planned.clear();
         self.formed.clear();
-        self.joined.clear();
-        self.remember(targets, false, now);
+        self.join_epochs.clear();
+        self.observe(targets, false, now);
         for target in targets.values() {
             let Some(member) = target.member.as_ref().filter(|m| m.rank == 0) else {
                 continue;
             };
             match member.state {
-                // The planner that forms the group may have told it to open.
+                // The planner that forms the group may have ordered its leader to open.
                 MemberState::Ready => {
                     self.opening.entry(member.of.clone()).or_insert(1);
                 }
@@ -44,60 +44,63 @@
         }
     }
 
-    /// Notes the term in which the planner plans; in an earlier one, or before, others did.
-    /// Returns whether it planned in this term before.
+    /// Enters the term in which this planner plans; before that, other planners may have sent
+    /// orders. Returns whether this planner has planned in the same term before.
     pub(super) fn enter_term(&mut self, view: &FleetView<'_>, now: Millis) -> bool {
-        let goes_on = self.term == Some(view.term);
-        if !goes_on {
+        let is_same_term = self.term == Some(view.term);
+        if !is_same_term {
             self.term = Some(view.term);
-            self.revisions.begin_term(view.term <= FIRST_TERM, now);
+            self.order_counts.begin_term(view.term <= FIRST_TERM, now);
         }
-        goes_on
+        is_same_term
     }
 
-    /// Notes a life that is listed for the first time; `plans` tells whether this planner
-    /// alone gave orders since the last look.
-    fn note_listed(&mut self, target: &TargetId, plans: bool, now: Millis) {
-        self.grown = now;
-        if plans {
-            let has_watched = self.began.is_some_and(|at| now - at >= LATE_ORDER_TIMEOUT);
-            let is_new = has_watched && !self.knows_other_life(target);
-            self.revisions.note_appeared(target, is_new, now);
+    /// Records an incarnation that is listed for the first time. `is_sole_planner` tells whether
+    /// only this planner sent orders since its last step.
+    fn record_listed(&mut self, target: &TargetId, is_sole_planner: bool, now: Millis) {
+        self.last_appeared = now;
+        if is_sole_planner {
+            let has_watched = self
+                .watching_since
+                .is_some_and(|at| now - at >= LATE_ORDER_TIMEOUT);
+            let is_new = has_watched && !self.knows_other_incarnation(target);
+            self.order_counts.record_appeared(target, is_new, now);
         }
-        self.revisions.note_listed(target);
+        self.order_counts.record_listed(target);
     }
 
-    /// Whether another life of a target's instance is remembered.
-    fn knows_other_life(&self, target: &TargetId) -> bool {
-        // Lives of one instance follow each other in the order of ids.
+    /// Returns whether another incarnation of a target's instance is remembered.
+    fn knows_other_incarnation(&self, target: &TargetId) -> bool {
+        // The incarnations of one instance are adjacent in the order of ids.
         let first = TargetId::from(target.instance().clone());
-        let lives = self.addresses.range(first..).map(|(id, _)| id);
-        let mut lives = lives.take_while(|id| id.instance() == target.instance());
-        lives.any(|id| id.is_other_incarnation_of(target))
+        let incarnations = self.addresses.range(first..).map(|(id, _)| id);
+        let mut incarnations = incarnations.take_while(|id| id.instance() == target.instance());
+        incarnations.any(|id| id.is_other_incarnation_of(target))
     }
 
-    /// Takes in how the fleet stands, and forgets what has become old; `plans` tells whether
-    /// this planner alone gave orders since the last look.
-    pub(super) fn remember(
+    /// Updates the memory from the listed targets and drops outdated entries. `is_sole_planner`
+    /// tells whether only this planner sent orders since its last step.
+    pub(super) fn observe(
         &mut self,
         targets: &HashMap<TargetId, Target>,
-        plans: bool,
+        is_sole_planner: bool,
         now: Millis,
     ) {
-        self.began.get_or_insert(now);
-        self.avoid.retain(|_, at| now - *at < AVOID_TIME);
-        self.silent
+        self.watching_since.get_or_insert(now);
+        self.avoided.retain(|_, at| now - *at < AVOID_DURATION);
+        self.failed_probes
             .retain(|_, (_, at)| now - *at < DEAD_TARGET_RETENTION);
-        self.most = self.most.max(targets.len());
-        self.given.retain(|_, at| now - *at < AVOID_TIME);
-        self.rounds
+        self.peak_targets = self.peak_targets.max(targets.len());
+        self.last_orders.retain(|_, at| now - *at < AVOID_DURATION);
+        self.probe_rounds
             .retain(|_, (_, at)| now - *at < PROBE_ROUND_INTERVAL);
-        self.asked.retain(|_, at| now - *at < PROBE_ROUND_INTERVAL);
-        self.probed.retain(|_, at| now - *at < AVOID_TIME);
+        self.pace_probes
+            .retain(|_, at| now - *at < PROBE_ROUND_INTERVAL);
+        self.last_probes.retain(|_, at| now - *at < AVOID_DURATION);
         self.staging.retain(|id, (model, at)| {
             let target = targets.get(id);
             let waits = target.is_some_and(|t| !t.staged.contains(model));
-            waits && now - *at < STAGING
+            waits && now - *at < STAGING_TIMEOUT
         });
         for target in targets.values() {
             if self
@@ -105,27 +108,27 @@
                 .insert(target.id.clone(), target.address)
                 .is_none()
             {
-                self.note_listed(&target.id, plans, now);
+                self.record_listed(&target.id, is_sole_planner, now);
             }
-            self.missing.remove(&target.id);
+            self.missing_since.remove(&target.id);
             let Some(member) = &target.member else {
                 continue;
             };
             match (&member.model, member.state) {
                 (Some(model), _) => {
-                    self.loaded.insert(target.id.clone(), model.clone());
+                    self.last_models.insert(target.id.clone(), model.clone());
                 }
-                // It takes over weights and does not say which.
+                // The target is loading weights and does not report of which model.
                 (None, MemberState::Joining) => {
-                    self.loaded.remove(&target.id);
+                    self.last_models.remove(&target.id);
                 }
                 (None, _) => {}
             }
-            self.revisions.note_member(&target.id, now);
-            self.seen.entry(member.of.clone()).or_insert(now);
-            let roster = self.rosters.entry(member.of.clone()).or_default();
-            if !roster.contains(&target.id) {
-                roster.insert(target.id.clone());
+            self.order_counts.record_member(&target.id, now);
+            self.first_seen.entry(member.of.clone()).or_insert(now);
+            let members = self.group_members.entry(member.of.clone()).or_default();
+            if !members.contains(&target.id) {
+                members.insert(target.id.clone());
             }
             if target.is_open_leader() && self.opening.get(&member.of) == Some(&0) {
                 self.opening.remove(&member.of);
@@ -136,49 +139,54 @@
         }
         for id in self.addresses.keys() {
             if !targets.contains_key(id) {
-                self.missing.entry(id.clone()).or_insert(now);
+                self.missing_since.entry(id.clone()).or_insert(now);
             }
         }
-        self.note_ended(targets);
+        self.record_superseded(targets);
         let shown: BTreeSet<&GroupRef> = targets
             .values()
             .filter_map(|t| Some(&t.member.as_ref()?.of))
             .collect();
-        self.hold_vanished(&shown, now);
-        self.seen.retain(|group, _| shown.contains(group));
-        self.rosters.retain(|group, _| shown.contains(group));
+        self.block_vanished_members(&shown, now);
+        self.first_seen.retain(|group, _| shown.contains(group));
+        self.group_members.retain(|group, _| shown.contains(group));
         self.leaders.retain(|group, _| shown.contains(group));
         self.opening.retain(|group, _| shown.contains(group));
-        self.left.retain(|group| shown.contains(group));
+        self.leader_left.retain(|group| shown.contains(group));
         let planned = &self.planned;
         self.formed
             .retain(|group| shown.contains(group) || planned.contains_key(group));
-        self.waiting.retain(|_, (_, until)| now < *until);
-        self.unanswered
+        self.blocked_until.retain(|_, (_, until)| now < *until);
+        self.unanswered_joins
             .retain(|_, at| now - *at < LATE_ORDER_TIMEOUT);
-        self.joined.retain(|id, _| targets.contains_key(id));
-        self.revisions.retain(|id| targets.contains_key(id), now);
+        self.join_epochs.retain(|id, _| targets.contains_key(id));
+        self.order_counts.retain(|id| targets.contains_key(id), now);
         self.cut.retain(|group| shown.contains(group));
-        self.missing.retain(|_, since| now - *since < FORGET);
+        self.missing_since
+            .retain(|_, since| now - *since < MISSING_RETENTION);
         self.slow.retain(|id| targets.contains_key(id));
-        self.loaded.retain(|id, _| targets.contains_key(id));
-        let missing = &self.missing;
+        self.last_models.retain(|id, _| targets.contains_key(id));
+        let missing = &self.missing_since;
         self.addresses
             .retain(|id, _| targets.contains_key(id) || missing.contains_key(id));
         let addresses = &self.addresses;
-        self.ended.retain(|id| addresses.contains_key(id));
+        self.superseded.retain(|id| addresses.contains_key(id));
     }
 
-    /// Notes the lives that are over, since a later one of the same instance is listed.
-    fn note_ended(&mut self, targets: &HashMap<TargetId, Target>) {
-        if self.missing.keys().all(|id| self.ended.contains(id)) {
+    /// Records the incarnations that are over because a later one of the same instance is listed.
+    fn record_superseded(&mut self, targets: &HashMap<TargetId, Target>) {
+        if self
+            .missing_since
+            .keys()
+            .all(|id| self.superseded.contains(id))
+        {
             return;
         }
         let listed: HashSet<&InstanceId> = targets.keys().map(TargetId::instance).collect();
-        let over = self
-            .missing
+        let superseded = self
+            .missing_since
             .keys()
             .filter(|id| listed.contains(id.instance()));
-        self.ended.extend(over.cloned());
+        self.superseded.extend(superseded.cloned());
     }
 }
--- a/crates/thistlesill-policy/src/edge/fleet/orders.rs
+++ b/crates/thistlesill-policy/src/edge/fleet/orders.rs
@@ -1,4 +1,4 @@
-//! The orders and probes that follow from what a group needs.
+//! The orders and probes that follow from the decision on a group.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -6,81 +6,81 @@
 use thistlesill_core::Millis;
 use thistlesill_core::edge::{GroupRef, Order, Target, TargetId};
 
-use super::survey::{Standing, Verdict};
+use super::survey::{Decision, ObservedGroup};
 use super::{
-    FleetAction, FleetPlanner, FleetView, ORDER_RETRY_INTERVAL, PROBE_INTERVAL,
-    PROBE_ROUND_INTERVAL, PROBE_ROUNDS, SLOW_PROBE_INTERVAL,
+    FleetAction, FleetPlanner, FleetView, MAX_PROBE_ROUNDS, ORDER_RETRY_INTERVAL, PROBE_INTERVAL,
+    PROBE_ROUND_INTERVAL, SLOW_PROBE_INTERVAL,
 };
 
 impl FleetPlanner {
-    pub(super) fn carry_out(
+    pub(super) fn execute(
         &mut self,
         view: &FleetView<'_>,
         group: &GroupRef,
-        standing: &Standing<'_>,
-        verdict: Verdict,
+        observed: &ObservedGroup<'_>,
+        decision: Decision,
         now: Millis,
         actions: &mut Vec<FleetAction>,
     ) {
-        match verdict {
-            Verdict::Serve | Verdict::Wait | Verdict::Standby | Verdict::Void => {}
-            Verdict::Open => {
+        match decision {
+            Decision::Serve | Decision::Wait | Decision::Standby | Decision::Ended => {}
+            Decision::Open => {
                 let order = Order::Open(group.clone());
-                self.give_leader(standing, order, "all members are ready", now, actions);
+                self.order_leader(observed, order, "all members are ready", now, actions);
             }
-            Verdict::Cut => {
+            Decision::Cut => {
                 let order = Order::Cut(group.clone());
-                self.give_leader(standing, order, "a member is lost", now, actions);
+                self.order_leader(observed, order, "a member is lost", now, actions);
             }
-            Verdict::Replace => {
+            Decision::ReplaceSlow => {
                 let order = Order::Cut(group.clone());
-                self.give_leader(standing, order, "a member is slow", now, actions);
+                self.order_leader(observed, order, "a member is slow", now, actions);
             }
-            Verdict::Retire => {
+            Decision::DrainLeaving => {
                 let order = Order::Close(group.clone());
-                self.give_leader(standing, order, "a member is leaving", now, actions);
+                self.order_leader(observed, order, "a member is leaving", now, actions);
             }
-            Verdict::Rest => {
+            Decision::DrainToStandby => {
                 let order = Order::Close(group.clone());
-                self.give_leader(standing, order, "the group is not wanted now", now, actions);
+                self.order_leader(observed, order, "the group is not needed now", now, actions);
             }
-            Verdict::GiveWay => {
+            Decision::DrainForConversion => {
                 let order = Order::Close(group.clone());
-                let why = "the group gives way to a model that is asked for more";
-                self.give_leader(standing, order, why, now, actions);
+                let reason = "the group is converted to a model with more demand";
+                self.order_leader(observed, order, reason, now, actions);
             }
-            Verdict::Dissolve => {
+            Decision::Dissolve => {
                 let order = Order::Leave(group.clone());
-                if standing.leader.is_some() {
-                    let why = "a late order could open the group again";
-                    self.give_leader(standing, order, why, now, actions);
+                if observed.leader.is_some() {
+                    let reason = "a late order could open the group again";
+                    self.order_leader(observed, order, reason, now, actions);
                 } else {
-                    self.give_lost_leader(group, order, now, actions);
+                    self.order_unlisted_leader(group, order, now, actions);
                 }
             }
-            Verdict::Release => self.release(group, standing, now, actions),
-            Verdict::Dismiss => {
+            Decision::Release => self.release_members(group, observed, now, actions),
+            Decision::DrainUnlisted => {
                 let order = Order::Close(group.clone());
-                self.give_lost_leader(group, order, now, actions);
+                self.order_unlisted_leader(group, order, now, actions);
             }
-            Verdict::Stop => {
+            Decision::CutUnlisted => {
                 let order = Order::Cut(group.clone());
-                self.give_lost_leader(group, order, now, actions);
+                self.order_unlisted_leader(group, order, now, actions);
             }
-            Verdict::Probe => self.probe_stalled(view, standing, now, actions),
-            Verdict::Ask => self.ask_members(view, standing, now, actions),
+            Decision::ProbeStalled => self.probe_stalled(view, observed, now, actions),
+            Decision::ProbeSlow => self.probe_pace(view, observed, now, actions),
         }
     }
 
-    fn give_leader(
+    fn order_leader(
         &mut self,
-        standing: &Standing<'_>,
+        observed: &ObservedGroup<'_>,
         order: Order,
-        why: &'static str,
+        reason: &'static str,
         now: Millis,
         actions: &mut Vec<FleetAction>,
     ) {
-        let Some(leader) = standing.leader else {
+        let Some(leader) = observed.leader else {
             return;
         };
         let (id, address) = (leader.id.clone(), leader.address);
@@ -88,15 +88,15 @@
             Order::Open(group) => Some(group.clone()),
             _ => None,
         };
-        if self.give(id, address, order, why, now, actions)
+        if self.send_order(id, address, order, reason, now, actions)
             && let Some(group) = open
         {
             *self.opening.entry(group).or_default() += 1;
         }
     }
 
-    /// Gives an order to a leader that is no longer listed, where it was last.
-    fn give_lost_leader(
+    /// Sends an order to a leader that is no longer listed, at its last known address.
+    fn order_unlisted_leader(
         &mut self,
         group: &GroupRef,
         order: Order,
@@ -106,7 +106,7 @@
         let leader = self.leaders.get(group).cloned();
         let known = leader.and_then(|id| Some((id.clone(), *self.addresses.get(&id)?)));
         if let Some((id, address)) = known {
-            self.give(
+            self.send_order(
                 id,
                 address,
                 order,
@@ -117,38 +117,38 @@
         }
     }
 
-    /// Gives an order unless the same kind was given a moment ago; returns
-    /// whether it was given.
-    pub(super) fn give(
+    /// Sends an order unless one of the same kind was sent within [`ORDER_RETRY_INTERVAL`]. Returns
+    /// whether the order was sent.
+    pub(super) fn send_order(
         &mut self,
         target: TargetId,
         address: SocketAddr,
         order: Order,
-        why: &'static str,
+        reason: &'static str,
         now: Millis,
         actions: &mut Vec<FleetAction>,
     ) -> bool {
-        let slot = (target.clone(), order.name());
+        let key = (target.clone(), order.name());
         if self
-            .given
-            .get(&slot)
+            .last_orders
+            .get(&key)
             .is_some_and(|at| now - *at < ORDER_RETRY_INTERVAL)
         {
             return false;
         }
-        self.given.insert(slot, now);
-        self.revisions.note_given(&target, now);
+        self.last_orders.insert(key, now);
+        self.order_counts.record_sent(&target, now);
         actions.push(FleetAction::SendOrder {
             target,
             address,
             order,
-            reason: why,
+            reason,
         });
         true
     }
 
-    /// Asks idle targets that were slow whether they still are.
-    pub(super) fn ask_slow(
+    /// Probes idle targets that were slow, to learn whether they still are.
+    pub(super) fn probe_slow(
         &mut self,
         view: &FleetView<'_>,
         free: &BTreeSet<TargetId>,
@@ -162,85 +162,94 @@
         }
     }
 
-    /// Asks a target how many orders it took, unless that is known.
-    pub(super) fn ask_taken(
+    /// Probes a target for the number of orders that it has taken, unless the number is known.
+    pub(super) fn probe_orders_taken(
         &mut self,
         target: &Target,
         now: Millis,
         actions: &mut Vec<FleetAction>,
     ) {
-        if self.revisions.needs_report(&target.id, now) {
+        if self.order_counts.needs_report(&target.id, now) {
             self.probe(target, PROBE_INTERVAL, now, actions);
         }
     }
 
-    /// Probes a target unless that was done less than `gap` ago.
-    fn probe(&mut self, target: &Target, gap: Millis, now: Millis, actions: &mut Vec<FleetAction>) {
-        let last = self.probed.get(&target.id);
-        if last.is_some_and(|at| now - *at < gap) {
+    /// Probes a target unless it was probed less than `interval` ago.
+    fn probe(
+        &mut self,
+        target: &Target,
+        interval: Millis,
+        now: Millis,
+        actions: &mut Vec<FleetAction>,
+    ) {
+        let last = self.last_probes.get(&target.id);
+        if last.is_some_and(|at| now - *at < interval) {
             return;
         }
-        self.probed.insert(target.id.clone(), now);
+        self.last_probes.insert(target.id.clone(), now);
         actions.push(FleetAction::Probe {
             target: target.id.clone(),
             address: target.address,
         });
     }
 
-    /// Asks the members of a slow group for their pace, once in a while. These
-    /// rounds do not count: a member may die while its group is slow.
-    fn ask_members(
+    /// Probes the members of a slow group for their pace, once per [`PROBE_ROUND_INTERVAL`]. These
+    /// rounds are not counted, since a member may die while its group is slow.
+    fn probe_pace(
         &mut self,
         view: &FleetView<'_>,
-        standing: &Standing<'_>,
+        observed: &ObservedGroup<'_>,
         now: Millis,
         actions: &mut Vec<FleetAction>,
     ) {
-        let Some(leader) = standing.leader else {
+        let Some(leader) = observed.leader else {
             return;
         };
-        if !self.asked.contains_key(&leader.id) {
-            self.asked.insert(leader.id.clone(), now);
-            self.probe_members(view, standing, now, actions);
+        if !self.pace_probes.contains_key(&leader.id) {
+            self.pace_probes.insert(leader.id.clone(), now);
+            self.probe_members(view, observed, now, actions);
         }
     }
 
-    /// Asks the members of a group that stands still whether they live.
+    /// Probes the members of a stalled group, to learn whether they are alive.
     fn probe_stalled(
         &mut self,
         view: &FleetView<'_>,
-        standing: &Standing<'_>,
+        observed: &ObservedGroup<'_>,
         now: Millis,
         actions: &mut Vec<FleetAction>,
     ) {
-        let Some(leader) = standing.leader else {
+        let Some(leader) = observed.leader else {
             return;
         };
-        let rounds = self.rounds.entry(leader.id.clone()).or_insert((0, now));
+        let rounds = self
+            .probe_rounds
+            .entry(leader.id.clone())
+            .or_insert((0, now));
         if now - rounds.1 >= PROBE_ROUND_INTERVAL {
             *rounds = (0, now);
         }
-        if rounds.0 >= PROBE_ROUNDS {
+        if rounds.0 >= MAX_PROBE_ROUNDS {
             return;
         }
-        if self.probe_members(view, standing, now, actions)
-            && let Some(rounds) = self.rounds.get_mut(&leader.id)
+        if self.probe_members(view, observed, now, actions)
+            && let Some(rounds) = self.probe_rounds.get_mut(&leader.id)
         {
             rounds.0 += 1;
         }
     }
 
-    /// Probes all members that were not asked a moment ago; returns whether
-    /// there was one.
+    /// Probes all members that were not probed within [`PROBE_INTERVAL`]. Returns whether there was
+    /// one.
     fn probe_members(
         &mut self,
         view: &FleetView<'_>,
-        standing: &Standing<'_>,
+        observed: &ObservedGroup<'_>,
         now: Millis,
         actions: &mut Vec<FleetAction>,
     ) -> bool {
         let probes = actions.len();
-        for member in &standing.members {
+        for member in &observed.members {
             if view.targets.contains_key(&member.id) {
                 self.probe(member, PROBE_INTERVAL, now, actions);
             }
--- a/crates/thistlesill-policy/src/edge/fleet/standby.rs
+++ b/crates/thistlesill-policy/src/edge/fleet/standby.rs
@@ -1,50 +1,48 @@
-//! Groups that stand by: complete, with the weights loaded, but not open.
+//! Standby groups: complete, with the weights loaded, but not open.
 //!
-//! Idle targets that share a domain wait as a group of the smallest model. It
-//! serves as soon as it is opened; and while it is not, each of its members can
-//! join another group at once, of either the model that it has loaded or the
-//! one on its host.
+//! Idle targets that share a domain wait as a group of the smallest model, which serves as soon as
+//! it is opened. Until then each member can join another group at once, of either the model that it
+//! has loaded or the one on its host.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use thistlesill_core::edge::{GroupRef, MemberState, ModelPlan, Target, TargetId};
 use thistlesill_core::{DomainId, Millis, Model};
 
-use super::demand::{announced_groups, fair_groups};
-use super::forming::{BELOW_FAIR, Planned};
-use super::loads::most_calm;
-use super::survey::{Standing, Survey};
+use super::demand::{configured_groups, desired_groups};
+use super::forming::{PlannedGroup, SHORTAGE_THRESHOLD};
+use super::loads::max_initial_loads;
+use super::survey::{ObservedGroup, Survey};
 use super::{FleetAction, FleetPlanner, FleetView};
 
 /// How long a group may take to open after the order.
-const OPENS: Millis = Millis::new(2_000);
-/// Part of the places of a model's groups that may be taken before one that
-/// stands by is opened: from about there on, answers become late.
-const BUSY: f64 = 0.65;
-/// Part of the places that would be taken with one group fewer below which a
-/// group that is not wanted is closed; far enough from [`BUSY`] that a group
-/// is not opened and closed by turns.
-const EASED: f64 = 0.4;
-/// How long the groups must have been at ease.
-const EASED_FOR: Millis = Millis::new(3_000);
+const OPEN_TIMEOUT: Millis = Millis::new(2_000);
+/// Occupancy of a model's groups, as a ratio of their slots, above which a standby group is opened.
+/// From about there on, answers become late.
+const BUSY_RATIO: f64 = 0.65;
+/// Occupancy with one group fewer, as a ratio of the slots, below which a surplus group is closed.
+/// It is far enough from [`BUSY_RATIO`] that a group is not opened and closed by turns.
+const UNDERUSED_RATIO: f64 = 0.4;
+/// How long the groups must have been underused before one is closed.
+const UNDERUSED_DURATION: Millis = Millis::new(3_000);
 
-/// How many groups a model has and wants.
+/// The number of groups that a model has and needs.
 #[derive(Debug, Clone, Copy)]
 struct Supply {
     groups: usize,
-    /// Groups that its share of the targets and its requests call for.
+    /// Groups that the model's share of the targets and its requests call for.
     wanted: usize,
-    /// Whether it would do with one group fewer.
-    eased: bool,
+    /// Whether one group fewer would suffice.
+    underused: bool,
 }
 
 impl FleetPlanner {
-    /// Finds the groups that are complete and closed and leaves out those that
-    /// are wanted now; and finds the open ones that are wanted no longer.
+    /// Finds the groups that are complete and closed, except those that are needed now, and the
+    /// open groups that are no longer needed.
     pub(super) fn find_standby(&mut self, view: &FleetView<'_>, survey: &Survey<'_>, now: Millis) {
         let groups = survey.groups.iter();
-        let closed = groups.filter(|(group, standing)| {
-            !self.is_opening(standing, now) && self.is_closed(view, group, standing)
+        let closed = groups.filter(|(group, observed)| {
+            !self.is_opening(observed, now) && self.is_closed(view, group, observed)
         });
         self.standby = closed.map(|(group, _)| group.clone()).collect();
         self.surplus.clear();
@@ -65,22 +63,25 @@
         groups: usize,
     ) -> Supply {
         let open = open_groups(view, survey, plan);
-        let leaders = open.filter_map(|(_, standing)| standing.leader);
-        let sound = leaders.filter(|t| !view.stalled.contains(&t.id) && !self.is_dead(&t.id));
-        let requests = sound.filter_map(|t| view.requests.get(&t.id)).sum::<u32>();
+        let leaders = open.filter_map(|(_, observed)| observed.leader);
+        let healthy = leaders.filter(|t| !view.stalled.contains(&t.id) && !self.is_dead(&t.id));
+        let requests = healthy
+            .filter_map(|t| view.requests.get(&t.id))
+            .sum::<u32>();
         let slots = f64::from(view.engine.slots.max(1));
-        let busy = (f64::from(requests) / (slots * BUSY)).ceil() as usize;
-        let fair = fair_groups(view, plan, self.usable) / BELOW_FAIR;
-        let fair = (fair.ceil() as usize).max(1);
+        let busy = (f64::from(requests) / (slots * BUSY_RATIO)).ceil() as usize;
+        let desired = desired_groups(view, plan, self.usable_targets) / SHORTAGE_THRESHOLD;
+        let desired = (desired.ceil() as usize).max(1);
         let fewer = groups.saturating_sub(1) as f64;
-        // Below what was announced groups end only for a model that is short:
-        // demand may return sooner than they could.
-        let least = announced_groups(view.engine, plan, self.usable) / BELOW_FAIR;
-        let least = fair.max(least.ceil() as usize);
+        // Below the model's configured share, groups are closed only for another model that lacks
+        // groups: demand may return sooner than the groups could.
+        let min_groups =
+            configured_groups(view.engine, plan, self.usable_targets) / SHORTAGE_THRESHOLD;
+        let min_groups = desired.max(min_groups.ceil() as usize);
         Supply {
             groups,
-            wanted: fair.max(busy),
-            eased: groups > least && f64::from(requests) < slots * EASED * fewer,
+            wanted: desired.max(busy),
+            underused: groups > min_groups && f64::from(requests) < slots * UNDERUSED_RATIO * fewer,
         }
     }
 
@@ -92,11 +93,11 @@
         supply: Supply,
     ) {
         let missing = supply.wanted.saturating_sub(supply.groups);
-        let groups = survey.groups.iter().filter(|(group, standing)| {
-            let model = standing.plan(view).map(|p| &p.model);
-            let away = standing.leader.is_some_and(|t| view.is_evacuated(t));
-            let waits = self.standby.contains(*group) && !self.gave_way.contains_key(*group);
-            waits && !away && model == Some(&plan.model)
+        let groups = survey.groups.iter().filter(|(group, observed)| {
+            let model = observed.plan(view).map(|p| &p.model);
+            let evacuated = observed.leader.is_some_and(|t| view.is_evacuated(t));
+            let waits = self.standby.contains(*group) && !self.converted_at.contains_key(*group);
+            waits && !evacuated && model == Some(&plan.model)
         });
         let opened: Vec<GroupRef> = groups.map(|(g, _)| g.clone()).take(missing).collect();
         for group in opened {
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Notes an open group that the model has not wanted for a while.
+    /// Adds an open group to the surplus if the model has not needed it for a while.
     fn find_surplus(
         &mut self,
         view: &FleetView<'_>,
@@ -118,50 +119,58 @@
             let groups = counts.get(&other.model).copied().unwrap_or(0);
             self.needs_conversion(view, other, groups)
         };
-        // Where another model is short, groups end only when that helps it.
-        if !supply.eased || view.before_traffic || view.engine.models.iter().any(short) {
-            self.eased.remove(&plan.model);
+        // Where another model lacks groups, groups are closed only if that model gets their
+        // members.
+        if !supply.underused || view.before_traffic || view.engine.models.iter().any(short) {
+            self.underused_since.remove(&plan.model);
             return;
         }
-        let since = *self.eased.entry(plan.model.clone()).or_insert(now);
-        if now - since < EASED_FOR {
+        let since = *self
+            .underused_since
+            .entry(plan.model.clone())
+            .or_insert(now);
+        if now - since < UNDERUSED_DURATION {
             return;
         }
-        self.eased.insert(plan.model.clone(), now);
+        self.underused_since.insert(plan.model.clone(), now);
         let last = open_groups(view, survey, plan).last();
         self.surplus.extend(last.map(|(group, _)| group.clone()));
     }
 
-    /// Whether a group's leader was told to open a moment ago.
-    fn is_opening(&self, standing: &Standing<'_>, now: Millis) -> bool {
-        let slot = standing.leader.map(|t| (t.id.clone(), "open"));
-        let given = slot.and_then(|slot| self.given.get(&slot));
-        given.is_some_and(|at| now - *at < OPENS)
+    /// Returns whether a group's leader was ordered to open within [`OPEN_TIMEOUT`].
+    fn is_opening(&self, observed: &ObservedGroup<'_>, now: Millis) -> bool {
+        let key = observed.leader.map(|t| (t.id.clone(), "open"));
+        let given = key.and_then(|key| self.last_orders.get(&key));
+        given.is_some_and(|at| now - *at < OPEN_TIMEOUT)
     }
 
-    /// Whether a group is complete and neither serves nor was planned to.
-    fn is_closed(&self, view: &FleetView<'_>, group: &GroupRef, standing: &Standing<'_>) -> bool {
+    /// Returns whether a group is complete and neither serves nor was planned to.
+    fn is_closed(
+        &self,
+        view: &FleetView<'_>,
+        group: &GroupRef,
+        observed: &ObservedGroup<'_>,
+    ) -> bool {
         let planned = self.planned.get(group).is_some_and(|p| !p.standby);
-        if planned || self.cut.contains(group) || self.left.contains(group) {
+        if planned || self.cut.contains(group) || self.leader_left.contains(group) {
             return false;
         }
-        let whole = |plan: &ModelPlan| standing.members.len() >= plan.size as usize;
-        let ready = standing.members.iter().all(|t| {
+        let complete = |plan: &ModelPlan| observed.members.len() >= plan.size as usize;
+        let ready = observed.members.iter().all(|t| {
             let state = t.member.as_ref().map(|m| m.state);
             state == Some(MemberState::Ready) && !t.leaving && !self.is_dead(&t.id)
         });
-        let sound = ready && self.is_current(group, standing);
-        sound && standing.leader.is_some() && standing.plan(view).is_some_and(whole)
+        let healthy = ready && self.may_be_opened(group, observed);
+        healthy && observed.leader.is_some() && observed.plan(view).is_some_and(complete)
     }
 
-    /// Whether a target waits in a group that stands by.
-    pub(super) fn stands_by(&self, target: &Target) -> bool {
+    /// Returns whether a target is a member of a standby group.
+    pub(super) fn in_standby(&self, target: &Target) -> bool {
         let group = target.member.as_ref().map(|m| &m.of);
         group.is_some_and(|group| self.standby.contains(group))
     }
 
-    /// Before the first requests, has idle targets of a domain form groups
-    /// that stand by.
+    /// Forms standby groups of a domain's idle targets before the first requests.
     pub(super) fn form_standby(
         &mut self,
         view: &FleetView<'_>,
@@ -174,7 +183,7 @@
         };
         let mut domains: BTreeMap<Option<&DomainId>, Vec<&Target>> = BTreeMap::new();
         for target in free.iter().filter_map(|id| view.targets.get(id)) {
-            if !self.stands_by(target) {
+            if !self.in_standby(target) {
                 domains
                     .entry(target.domain.as_ref())
                     .or_default()
@@ -184,13 +193,13 @@
         for targets in domains.values() {
             for members in targets.chunks_exact(plan.size.max(1) as usize) {
                 let cold = members.iter().filter(|t| !self.is_warm(t, plan)).count();
-                if self.loading(view) + cold > most_calm(view.engine) {
-                    self.held_back = true;
+                if self.count_loading(view) + cold > max_initial_loads(view.engine) {
+                    self.formation_deferred = true;
                     return;
                 }
-                let planned = Planned::new(plan, members).standing_by();
-                let why = "idle targets stand by as a group";
-                self.give_joins(planned, members, why, now, actions, view);
+                let planned = PlannedGroup::new(plan, members).into_standby();
+                let reason = "idle targets form a standby group";
+                self.start_group(planned, members, reason, now, actions, view);
                 for target in members {
                     free.remove(&target.id);
                 }
@@ -199,16 +208,16 @@
     }
 }
 
-/// The groups of a model that take requests.
+/// Returns the groups of a model that take requests.
 fn open_groups<'a, 's>(
     view: &FleetView<'a>,
     survey: &'s Survey<'a>,
     plan: &'s ModelPlan,
-) -> impl Iterator<Item = (&'s GroupRef, &'s Standing<'a>)> {
+) -> impl Iterator<Item = (&'s GroupRef, &'s ObservedGroup<'a>)> {
     let view = *view;
-    survey.groups.iter().filter(move |(_, standing)| {
-        let model = standing.plan(&view).map(|p| &p.model);
+    survey.groups.iter().filter(move |(_, observed)| {
+        let model = observed.plan(&view).map(|p| &p.model);
         let serves = |t: &Target| t.is_open_leader() && !view.is_evacuated(t);
-        standing.leader.is_some_and(serves) && model == Some(&plan.model)
+        observed.leader.is_some_and(serves) && model == Some(&plan.model)
     })
 }
