--- a/crates/thistlesill-policy/tests/edge/demand.rs
+++ b/crates/thistlesill-policy/tests/edge/demand.rs
@@ -3,19 +3,19 @@
 use thistlesill_core::Millis;
 use thistlesill_core::edge::{GroupRef, Order, TargetId};
 
-use crate::stage::Stage;
+use crate::stage::Simulation;
 
 fn secs(s: u64) -> Millis {
     Millis::new(s * 1_000)
 }
 
-fn ask(stage: &mut Stage, large: f64, small: f64) {
+fn ask(stage: &mut Simulation, large: f64, small: f64) {
     stage.demand.insert("large".into(), large);
     stage.demand.insert("small".into(), small);
 }
 
 /// Groups that were told to end what they have.
-fn closed(stage: &Stage) -> usize {
+fn closed(stage: &Simulation) -> usize {
     let closes = stage.orders.iter();
     let closes = closes.filter(|(_, _, o)| matches!(o, Order::Close(_)));
     closes.count()
@@ -23,7 +23,7 @@
 
 #[test]
 fn work_as_announced_changes_nothing() {
-    let mut stage = Stage::formed(6);
+    let mut stage = Simulation::formed(6);
     ask(&mut stage, 2.9, 2.4);
     stage.run(secs(30));
     assert_eq!(stage.sizes(), (6, 6));
@@ -32,18 +32,18 @@
 
 #[test]
 fn groups_with_room_give_way_to_a_short_model_within_seconds() {
-    let mut stage = Stage::formed(6);
+    let mut stage = Simulation::formed(6);
     ask(&mut stage, 5.8, 0.8);
     stage.run(secs(12));
     let (large, small) = stage.sizes();
     assert!(large >= 8, "{large} large groups");
     assert!(small >= 2, "{small} small groups");
-    stage.assert_sound();
+    stage.assert_no_breaches();
 }
 
 #[test]
 fn the_model_that_gives_keeps_what_its_own_work_needs() {
-    let mut stage = Stage::formed(6);
+    let mut stage = Simulation::formed(6);
     ask(&mut stage, 9.0, 2.4);
     for _ in 0..30 {
         stage.run(secs(1));
@@ -51,14 +51,14 @@
         // 2.4 groups' work at 0.6 of their time, less what all must do without.
         assert!(small >= 3, "{small} small groups");
     }
-    stage.assert_sound();
+    stage.assert_no_breaches();
 }
 
 /// Both models ask for more than there is: a change would cost both of them the groups
 /// for its time, and the model that gives could not do without.
 #[test]
 fn a_model_that_is_short_itself_gives_nothing() {
-    let mut stage = Stage::formed(6);
+    let mut stage = Simulation::formed(6);
     ask(&mut stage, 12.0, 4.0);
     stage.run(secs(20));
     assert_eq!(closed(&stage), 0);
@@ -70,7 +70,7 @@
 /// times in seven seconds, so that neither model had them.
 #[test]
 fn a_group_that_gave_way_is_not_opened_again_for_its_old_model() {
-    let mut stage = Stage::formed(6);
+    let mut stage = Simulation::formed(6);
     ask(&mut stage, 5.8, 0.8);
     for _ in 0..30 {
         for (leader, members) in stage.engines.serving() {
@@ -91,24 +91,24 @@
     }
     assert_eq!(again, Vec::<&GroupRef>::new(), "opened after they closed");
     assert!(stage.sizes().0 >= 8, "{:?}", stage.sizes());
-    stage.assert_sound();
+    stage.assert_no_breaches();
 }
 
 #[test]
 fn groups_change_back_when_demand_returns() {
-    let mut stage = Stage::formed(6);
+    let mut stage = Simulation::formed(6);
     ask(&mut stage, 5.8, 0.8);
     stage.run(secs(20));
     ask(&mut stage, 2.0, 4.4);
     stage.run(secs(60));
     let (_, small) = stage.sizes();
     assert!(small >= 7, "{small} small groups: {:?}", stage.sizes());
-    stage.assert_sound();
+    stage.assert_no_breaches();
 }
 
 #[test]
 fn a_lost_group_is_no_reason_for_a_change() {
-    let mut stage = Stage::formed(6);
+    let mut stage = Simulation::formed(6);
     ask(&mut stage, 3.5, 1.6);
     let (_, members) = stage.group_of(4);
     stage.engines.kill(&members[1]);
@@ -119,14 +119,14 @@
 
 #[test]
 fn all_hold_the_large_model_before_the_first_requests() {
-    let stage = Stage::formed(6);
+    let stage = Simulation::formed(6);
     for target in stage.engines.listed().values() {
         assert_eq!(target.staged, ["large".into()], "{target:?}");
     }
 }
 
 /// The leaders of the groups of the large model that take requests.
-fn large_leaders(stage: &Stage) -> Vec<TargetId> {
+fn large_leaders(stage: &Simulation) -> Vec<TargetId> {
     let groups = stage.engines.serving().into_iter();
     let large = groups.filter(|(_, members)| members.len() == 4);
     large.map(|(leader, _)| leader).collect()
@@ -136,12 +136,12 @@
 /// the rest, and the group itself stays as it is.
 #[test]
 fn groups_are_formed_for_the_work_that_limits_leave() {
-    let mut stage = Stage::formed(6);
+    let mut stage = Simulation::formed(6);
     ask(&mut stage, 3.4, 1.0);
     stage.run(secs(10));
     let (before, _) = stage.sizes();
     let leaders = large_leaders(&stage);
-    stage.rooms = leaders
+    stage.capacity_ratios = leaders
         .iter()
         .take(4)
         .map(|id| (id.clone(), 0.25))
@@ -156,5 +156,5 @@
             "{leader:?} was replaced"
         );
     }
-    stage.assert_sound();
+    stage.assert_no_breaches();
 }
--- a/crates/thistlesill-policy/tests/edge/evacuated_groups.rs
+++ b/crates/thistlesill-policy/tests/edge/evacuated_groups.rs
@@ -3,7 +3,7 @@
 use thistlesill_core::edge::TargetId;
 use thistlesill_core::{DomainId, Millis};
 
-use crate::stage::Stage;
+use crate::stage::Simulation;
 
 const HALL: &str = "evacuated";
 
@@ -12,8 +12,8 @@
 }
 
 /// Six domains with groups that serve, two of them in a data centre of their own.
-fn two_halls() -> (Stage, Vec<TargetId>) {
-    let mut stage = Stage::formed(6);
+fn two_halls() -> (Simulation, Vec<TargetId>) {
+    let mut stage = Simulation::formed(6);
     let listed = stage.engines.listed();
     let there = listed.values().filter(|t| {
         let domain = t.domain.as_ref().map_or("", DomainId::as_str);
@@ -41,7 +41,7 @@
     let away = before.iter().filter(|(l, _)| there.contains(l));
     assert!(away.clone().count() > 0);
     assert!(away.clone().all(|(leader, _)| kept(leader)));
-    stage.assert_sound();
+    stage.assert_no_breaches();
 }
 
 #[test]
@@ -56,7 +56,7 @@
     stage.engines.kill(&members[1]);
     stage.engines.unlist(&members[1]);
     stage.run(secs(12));
-    let serving = |stage: &Stage| {
+    let serving = |stage: &Simulation| {
         let groups = stage.engines.serving().into_iter();
         groups.filter(|(l, _)| there.contains(l)).count()
     };
@@ -67,7 +67,7 @@
     stage.evacuated.clear();
     stage.run(secs(20));
     assert_eq!(serving(&stage), count);
-    stage.assert_sound();
+    stage.assert_no_breaches();
 }
 
 /// The rest of the fleet has a smaller fair number of groups, not a larger one: all of its
@@ -75,7 +75,7 @@
 #[test]
 fn other_data_centres_keep_their_groups_while_one_is_evacuated() {
     let (mut stage, there) = two_halls();
-    let elsewhere = |stage: &Stage| {
+    let elsewhere = |stage: &Simulation| {
         let groups = stage.engines.serving().into_iter();
         groups.filter(|(l, _)| !there.contains(l)).count()
     };
--- a/crates/thistlesill-policy/tests/edge/fleet.rs
+++ b/crates/thistlesill-policy/tests/edge/fleet.rs
@@ -4,7 +4,7 @@
 use thistlesill_core::edge::Order;
 use thistlesill_policy::edge::fleet::FleetPlanner;
 
-use crate::stage::{Fate, STEP, Stage};
+use crate::stage::{Delivery, STEP, Simulation};
 
 const SECOND: Millis = Millis::new(1_000);
 
@@ -14,7 +14,7 @@
 
 #[test]
 fn every_domain_gets_both_models_and_keeps_spares() {
-    let stage = Stage::formed(6);
+    let stage = Simulation::formed(6);
     assert_eq!(stage.sizes(), (6, 6));
     let spares = stage.spares();
     assert_eq!(spares.len(), 12);
@@ -24,12 +24,12 @@
         assert_eq!(loaded, Some("small".into()), "{spare:?}");
         assert_eq!(spare.staged, ["large".into()], "{spare:?}");
     }
-    stage.assert_sound();
+    stage.assert_no_breaches();
 }
 
 #[test]
 fn a_group_that_stands_by_is_opened_when_its_model_is_short() {
-    let mut stage = Stage::formed(6);
+    let mut stage = Simulation::formed(6);
     let serving = stage.engines.serving();
     let small = serving.iter().find(|(_, m)| m.len() == 2);
     let (leader, _) = small.expect("a small group").clone();
@@ -43,8 +43,8 @@
 
 #[test]
 fn a_burst_opens_groups_that_stand_by_and_its_end_closes_them() {
-    let mut stage = Stage::formed(6);
-    let small = |stage: &Stage| -> Vec<_> {
+    let mut stage = Simulation::formed(6);
+    let small = |stage: &Simulation| -> Vec<_> {
         let serving = stage.engines.serving().into_iter();
         serving
             .filter(|(_, m)| m.len() == 2)
@@ -64,24 +64,24 @@
     assert_eq!(stage.sizes(), (6, 9), "a moment's ease closes nothing");
     stage.run(secs(20));
     assert_eq!(stage.sizes(), (6, 6));
-    stage.assert_sound();
+    stage.assert_no_breaches();
 }
 
 #[test]
 fn two_losses_in_a_row_are_replaced_by_spares_of_one_domain() {
-    let mut stage = Stage::formed(1);
+    let mut stage = Simulation::formed(1);
     for _ in 0..2 {
         let (_, members) = stage.group_of(4);
         stage.engines.kill(&members[1]);
         stage.run(secs(4));
         assert_eq!(stage.sizes().0, 1, "{:?}", stage.orders);
     }
-    stage.assert_sound();
+    stage.assert_no_breaches();
 }
 
 #[test]
 fn a_planner_that_takes_over_has_doubtful_groups_end_before_it_uses_them() {
-    let mut stage = Stage::formed(1);
+    let mut stage = Simulation::formed(1);
     let mut other = FleetPlanner::default();
     other.watch(&stage.engines.listed(), stage.now);
     stage.planner = other;
@@ -94,12 +94,12 @@
     stage.engines.kill(&members[1]);
     stage.run(secs(4));
     assert_eq!(stage.sizes().0, 1, "{:?}", stage.orders);
-    stage.assert_sound();
+    stage.assert_no_breaches();
 }
 
 #[test]
 fn a_census_counts_missing_groups_and_idle_targets() {
-    let mut stage = Stage::formed(6);
+    let mut stage = Simulation::formed(6);
     let census = stage.census();
     assert_eq!(census.idle(), 12);
     assert!(census.missing() < 1.0, "{census:?}");
@@ -113,7 +113,7 @@
 
 #[test]
 fn domains_that_are_listed_first_are_not_filled_up() {
-    let mut stage = Stage::new(0);
+    let mut stage = Simulation::new(0);
     for number in 0..48 {
         stage.engines.add(number);
         stage.run(Millis::new(100));
@@ -131,32 +131,34 @@
 
 #[test]
 fn a_lost_member_is_replaced_by_a_spare_that_is_ready() {
-    let mut stage = Stage::formed(6);
+    let mut stage = Simulation::formed(6);
     let (leader, members) = stage.group_of(4);
     let killed = stage.now;
     stage.engines.kill(&members[2]);
     stage.run(secs(4));
-    let cut = stage.given("cut", &leader).expect("the leader is stopped");
+    let cut = stage
+        .first_order("cut", &leader)
+        .expect("the leader is stopped");
     assert!(cut - killed <= SECOND, "{}", cut - killed);
     assert_eq!(stage.sizes(), (6, 6));
-    stage.assert_sound();
+    stage.assert_no_breaches();
 }
 
 #[test]
 fn a_slow_member_is_replaced_by_a_spare_and_used_again_when_it_is_sound() {
-    let mut stage = Stage::formed(6);
+    let mut stage = Simulation::formed(6);
     let (leader, members) = stage.group_of(4);
     let slow = members[2].clone();
-    stage.slow.insert(slow.clone());
-    stage.doubted.insert(leader.clone());
+    stage.slow_targets.insert(slow.clone());
+    stage.slow_leaders.insert(leader.clone());
     stage.run(secs(4));
-    assert!(stage.given("cut", &leader).is_some());
+    assert!(stage.first_order("cut", &leader).is_some());
     assert_eq!(stage.sizes(), (6, 6));
     let serving = stage.engines.serving();
     assert!(serving.iter().all(|(_, m)| !m.contains(&slow)));
     // The next loss in its domain takes it back, once it is sound.
-    stage.doubted.clear();
-    stage.slow.clear();
+    stage.slow_leaders.clear();
+    stage.slow_targets.clear();
     stage.run(secs(3));
     let group = serving.iter().find(|(_, m)| m.contains(&members[1]));
     let (_, now) = group.expect("the group was formed anew");
@@ -165,46 +167,52 @@
     stage.run(secs(6));
     let back = stage.engines.serving();
     assert!(back.iter().any(|(_, m)| m.contains(&slow)), "{back:?}");
-    stage.assert_sound();
+    stage.assert_no_breaches();
 }
 
 #[test]
 fn a_member_that_dies_in_a_slow_group_is_noticed_at_once() {
-    let mut stage = Stage::formed(6);
+    let mut stage = Simulation::formed(6);
     let (leader, members) = stage.group_of(4);
     // Its streams are slow although all its members are sound.
-    stage.doubted.insert(leader.clone());
+    stage.slow_leaders.insert(leader.clone());
     stage.run(secs(5));
     let killed = stage.now;
     stage.engines.kill(&members[2]);
     stage.run(secs(3));
-    let cut = stage.given("cut", &leader).expect("the leader is stopped");
+    let cut = stage
+        .first_order("cut", &leader)
+        .expect("the leader is stopped");
     assert!(cut - killed <= SECOND, "{}", cut - killed);
 }
 
 #[test]
 fn a_slow_group_goes_on_if_no_spare_can_take_a_place() {
-    let mut stage = Stage::formed(1);
+    let mut stage = Simulation::formed(1);
     let (leader, members) = stage.group_of(4);
     let idle = stage.spares();
     for spare in &idle {
         stage.engines.kill(&spare.id);
         stage.engines.unlist(&spare.id);
     }
-    stage.slow.insert(members[2].clone());
-    stage.doubted.insert(leader.clone());
+    stage.slow_targets.insert(members[2].clone());
+    stage.slow_leaders.insert(leader.clone());
     stage.run(secs(4));
-    assert!(stage.given("cut", &leader).is_none());
+    assert!(stage.first_order("cut", &leader).is_none());
     assert_eq!(stage.sizes(), (1, 1));
 }
 
 #[test]
 fn members_of_a_silent_leader_wait_until_it_is_off_the_list() {
-    let mut stage = Stage::formed(6);
+    let mut stage = Simulation::formed(6);
     let (leader, members) = stage.group_of(4);
     stage.engines.kill(&leader);
     stage.run(secs(3));
-    assert!(members.iter().all(|m| stage.given("join", m).is_none()));
+    assert!(
+        members
+            .iter()
+            .all(|m| stage.first_order("join", m).is_none())
+    );
     stage.engines.unlist(&leader);
     stage.run(secs(3));
     assert_eq!(stage.sizes(), (6, 6));
@@ -212,22 +220,29 @@
 
 #[test]
 fn a_leader_that_vanishes_from_the_list_is_told_to_stop_first() {
-    let mut stage = Stage::formed(6);
+    let mut stage = Simulation::formed(6);
     let (leader, members) = stage.group_of(4);
     // It still serves: nothing but the list forgot it.
     stage.engines.unlist(&leader);
     stage.run(secs(6));
-    let close = stage.given("close", &leader).expect("it is told to end");
-    let cut = stage.given("cut", &leader).expect("it is told to stop");
-    let rejoined = members.iter().filter_map(|m| stage.given("join", m)).min();
+    let close = stage
+        .first_order("close", &leader)
+        .expect("it is told to end");
+    let cut = stage
+        .first_order("cut", &leader)
+        .expect("it is told to stop");
+    let rejoined = members
+        .iter()
+        .filter_map(|m| stage.first_order("join", m))
+        .min();
     assert!(close < cut);
     assert!(rejoined.is_none_or(|at| at >= cut));
-    stage.assert_sound();
+    stage.assert_no_breaches();
 }
 
 #[test]
 fn members_of_a_leader_that_refuses_orders_wait_while_it_works() {
-    let mut stage = Stage::formed(6);
+    let mut stage = Simulation::formed(6);
     let (leader, members) = stage.group_of(4);
     // It has left the list and accepts no connection, but still works off
     // the requests that it has.
@@ -236,22 +251,26 @@
     for _ in 0..20 {
         stage.now = stage.now + Millis::new(100);
         stage.engines.advance(stage.now);
-        stage.look(|order| match order {
-            Order::Close(_) | Order::Cut(_) => Fate::Refused,
-            _ => Fate::Done,
+        stage.step_planner(|order| match order {
+            Order::Close(_) | Order::Cut(_) => Delivery::Refused,
+            _ => Delivery::Answered,
         });
     }
     let told = stage
-        .given("cut", &leader)
-        .or(stage.given("close", &leader));
+        .first_order("cut", &leader)
+        .or(stage.first_order("close", &leader));
     assert!(told.is_some(), "{:?}", stage.orders);
-    let joined = |stage: &Stage| members.iter().any(|m| stage.given("join", m).is_some());
+    let joined = |stage: &Simulation| {
+        members
+            .iter()
+            .any(|m| stage.first_order("join", m).is_some())
+    };
     assert!(!joined(&stage), "{:?}", stage.orders);
     stage.engines.kill(&leader);
     stage.working.clear();
     stage.run(secs(2));
     assert!(joined(&stage), "{:?}", stage.orders);
-    stage.assert_sound();
+    stage.assert_no_breaches();
 }
 
 /// Three daemons of seven were killed 1.2 s before a leader left the list; one of them
@@ -259,23 +278,27 @@
 /// while the leader still worked off its requests: a target was in two groups.
 #[test]
 fn members_of_a_leader_that_nobody_knows_wait_until_its_work_must_have_ended() {
-    let mut stage = Stage::formed(6);
+    let mut stage = Simulation::formed(6);
     let (leader, members) = stage.group_of(4);
     stage.engines.unlist(&leader);
     stage.planner = FleetPlanner::default();
     stage.orders.clear();
-    let joined = |stage: &Stage| members.iter().any(|m| stage.given("join", m).is_some());
+    let joined = |stage: &Simulation| {
+        members
+            .iter()
+            .any(|m| stage.first_order("join", m).is_some())
+    };
     // An order to join its group again may be carried out 12 s after it was given.
     stage.run(secs(11));
     assert!(!joined(&stage), "{:?}", stage.orders);
     stage.run(secs(3));
     assert!(joined(&stage), "{:?}", stage.orders);
-    stage.assert_sound();
+    stage.assert_no_breaches();
 }
 
 #[test]
 fn a_planner_that_takes_over_knows_who_led() {
-    let mut stage = Stage::formed(6);
+    let mut stage = Simulation::formed(6);
     let mut other = FleetPlanner::default();
     other.watch(&stage.engines.listed(), stage.now);
     let (leader, _) = stage.group_of(4);
@@ -283,20 +306,20 @@
     stage.planner = other;
     stage.term = 2;
     stage.run(secs(6));
-    assert!(stage.given("close", &leader).is_some());
-    stage.assert_sound();
+    assert!(stage.first_order("close", &leader).is_some());
+    stage.assert_no_breaches();
 }
 
 /// Its joins to other groups may be under way, so the members join anew, with the weights
 /// that they have loaded.
 #[test]
 fn a_group_that_another_planner_formed_is_formed_anew_and_opened_when_it_is_ready() {
-    let mut stage = Stage::new(1);
+    let mut stage = Simulation::new(1);
     // The first planner dies when all members have joined.
     for _ in 0..20 {
         stage.now = stage.now + Millis::new(100);
         stage.engines.advance(stage.now);
-        stage.look(|_| Fate::Done);
+        stage.step_planner(|_| Delivery::Answered);
     }
     let joins = stage
         .orders
@@ -306,9 +329,9 @@
     assert_eq!(joins, 8, "two groups and one that stands by");
     stage.planner = FleetPlanner::default();
     stage.term = 2;
-    stage.calm = false;
+    stage.before_traffic = false;
     stage.orders.clear();
-    let ready = |stage: &Stage| {
+    let ready = |stage: &Simulation| {
         let listed = stage.engines.listed();
         let mut large = listed
             .values()
@@ -328,22 +351,22 @@
     assert_eq!(stage.sizes(), (1, 1));
     let joins = stage.orders.iter().filter(|(_, _, o)| o.name() == "join");
     assert_eq!(joins.count(), 6, "{:?}", stage.orders);
-    stage.assert_sound();
+    stage.assert_no_breaches();
 }
 
 #[test]
 fn a_join_without_an_answer_is_given_again_with_the_same_epoch() {
-    let mut stage = Stage::new(1);
+    let mut stage = Simulation::new(1);
     let mut lost = 2;
     for _ in 0..40 {
         stage.now = stage.now + Millis::new(100);
         stage.engines.advance(stage.now);
-        stage.look(|order| match order {
+        stage.step_planner(|order| match order {
             Order::Join { .. } if lost > 0 => {
                 lost -= 1;
-                Fate::Lost
+                Delivery::Lost
             }
-            _ => Fate::Done,
+            _ => Delivery::Answered,
         });
     }
     stage.run(secs(60));
@@ -360,7 +383,7 @@
 
 #[test]
 fn epochs_exceed_all_that_were_seen() {
-    let mut stage = Stage::formed(2);
+    let mut stage = Simulation::formed(2);
     let highest = seen_epoch(&stage);
     // A term that was lost and counted anew must not bring old epochs back.
     stage.planner = FleetPlanner::default();
@@ -374,18 +397,18 @@
 
 #[test]
 fn a_leaving_member_ends_its_group_and_leaves_it_in_peace() {
-    let mut stage = Stage::formed(6);
+    let mut stage = Simulation::formed(6);
     let (leader, members) = stage.group_of(4);
     stage.engines.leave(&members[3]);
     stage.run(secs(4));
-    assert!(stage.given("close", &leader).is_some());
-    assert!(stage.given("join", &members[3]).is_none());
+    assert!(stage.first_order("close", &leader).is_some());
+    assert!(stage.first_order("join", &members[3]).is_none());
     assert_eq!(stage.sizes(), (6, 6), "{:?}", stage.orders);
 }
 
 #[test]
 fn no_more_loads_run_at_once_than_the_weight_store_serves_at_full_rate() {
-    let mut stage = Stage::formed(6);
+    let mut stage = Simulation::formed(6);
     for number in 48..64 {
         stage.engines.add(number);
     }
@@ -404,7 +427,7 @@
 
 #[test]
 fn idle_targets_load_what_the_next_group_lacks_first() {
-    let mut stage = Stage::formed(1);
+    let mut stage = Simulation::formed(1);
     // Empty targets in one domain; in another three that hold the weights of
     // the large model and one that holds nothing.
     for number in 8..11 {
@@ -426,7 +449,7 @@
 
 #[test]
 fn a_model_that_has_enough_takes_no_targets_while_another_is_short() {
-    let mut stage = Stage::formed(1);
+    let mut stage = Simulation::formed(1);
     let (leader, members) = stage.group_of(4);
     for lost in [&leader, &members[1]] {
         stage.engines.kill(lost);
@@ -447,7 +470,7 @@
     }
 }
 
-fn seen_epoch(stage: &Stage) -> u64 {
+fn seen_epoch(stage: &Simulation) -> u64 {
     let targets = stage.engines.listed();
     let epochs = targets
         .values()
--- a/crates/thistlesill-policy/tests/edge/fleet_random.rs
+++ b/crates/thistlesill-policy/tests/edge/fleet_random.rs
@@ -10,12 +10,12 @@
 use thistlesill_fakes::seeded;
 use thistlesill_policy::edge::fleet::FleetPlanner;
 
-use crate::stage::{Fate, STEP, Stage};
+use crate::stage::{Delivery, STEP, Simulation};
 
 /// Steps of one run, 50 s.
 const STEPS: u32 = 500;
 
-fn disturb(stage: &mut Stage, rng: &mut SmallRng) {
+fn disturb(stage: &mut Simulation, rng: &mut SmallRng) {
     let mut ids: Vec<TargetId> = stage.engines.listed().into_keys().collect();
     ids.sort();
     if ids.is_empty() {
@@ -43,7 +43,7 @@
 
 /// Now and then callers ask for other models than before. The draws are apart
 /// from the others, so that older seeds meet the same disturbances.
-fn turn_demand(stage: &mut Stage, rng: &mut SmallRng) {
+fn turn_demand(stage: &mut Simulation, rng: &mut SmallRng) {
     if rng.random_range(0..50) > 0 {
         return;
     }
@@ -55,7 +55,7 @@
 
 /// Now and then an engine starts again under its id, dead or alive; its clock may have
 /// jumped back. The draws are apart from the others, too.
-fn restart(stage: &mut Stage, rng: &mut SmallRng) {
+fn restart(stage: &mut Simulation, rng: &mut SmallRng) {
     if rng.random_range(0..60) > 0 {
         return;
     }
@@ -67,29 +67,29 @@
     }
 }
 
-fn fate(rng: &mut SmallRng) -> Fate {
+fn fate(rng: &mut SmallRng) -> Delivery {
     match rng.random_range(0..20) {
-        0 => Fate::Lost,
-        1 => Fate::Unanswered,
-        2 => Fate::Late(Millis::new(rng.random_range(2_000..12_000))),
-        _ => Fate::Done,
+        0 => Delivery::Lost,
+        1 => Delivery::Unanswered,
+        2 => Delivery::Late(Millis::new(rng.random_range(2_000..12_000))),
+        _ => Delivery::Answered,
     }
 }
 
-fn play(seed: u64) -> Stage {
+fn play(seed: u64) -> Simulation {
     play_with(seed, false)
 }
 
-fn play_with(seed: u64, restarts: bool) -> Stage {
+fn play_with(seed: u64, restarts: bool) -> Simulation {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut asking = SmallRng::seed_from_u64(!seed);
     let mut starting = SmallRng::seed_from_u64(seed.rotate_left(32));
-    let mut stage = Stage::new(6);
+    let mut stage = Simulation::new(6);
     for step in 0..STEPS {
         stage.now = stage.now + STEP;
-        stage.calm = step < 100;
+        stage.before_traffic = step < 100;
         stage.engines.advance(stage.now);
-        stage.carry_out_late();
+        stage.deliver_late();
         if step > 60 {
             disturb(&mut stage, &mut rng);
             turn_demand(&mut stage, &mut asking);
@@ -97,7 +97,7 @@
                 restart(&mut stage, &mut starting);
             }
         }
-        stage.look(|_| fate(&mut rng));
+        stage.step_planner(|_| fate(&mut rng));
     }
     stage
 }
--- a/crates/thistlesill-policy/tests/edge/release.rs
+++ b/crates/thistlesill-policy/tests/edge/release.rs
@@ -4,17 +4,17 @@
 use thistlesill_core::edge::{Incarnation, Order, TargetId};
 use thistlesill_policy::edge::fleet::FleetPlanner;
 
-use crate::stage::{Fate, STEP, Stage};
+use crate::stage::{Delivery, STEP, Simulation};
 
 fn secs(s: u64) -> Millis {
     Millis::new(s * 1_000)
 }
 
 /// Has a planner that watched for 13 s take over.
-fn hand_over(stage: &mut Stage) {
+fn hand_over(stage: &mut Simulation) {
     let mut successor = FleetPlanner::default();
     for _ in 0..130 {
-        stage.step(|_| Fate::Done);
+        stage.step(|_| Delivery::Answered);
         successor.watch(&stage.engines.listed(), stage.now);
     }
     stage.planner = successor;
@@ -26,30 +26,30 @@
 /// it; then the joins took effect at its leader and members, while it served.
 #[test]
 fn a_group_whose_members_may_join_another_one_late_is_not_opened_by_a_successor() {
-    let mut stage = Stage::formed(6);
+    let mut stage = Simulation::formed(6);
     let (leader, members) = stage.group_of(4);
-    stage.slow.insert(members[2].clone());
-    stage.doubted.insert(leader.clone());
-    let joins = |stage: &Stage| stage.orders.iter().any(|(_, _, o)| o.name() == "join");
+    stage.slow_targets.insert(members[2].clone());
+    stage.slow_leaders.insert(leader.clone());
+    let joins = |stage: &Simulation| stage.orders.iter().any(|(_, _, o)| o.name() == "join");
     for _ in 0..40 {
         stage.now = stage.now + STEP;
         stage.engines.advance(stage.now);
-        stage.look(|order| match order {
-            Order::Join { .. } => Fate::Late(secs(4)),
-            _ => Fate::Done,
+        stage.step_planner(|order| match order {
+            Order::Join { .. } => Delivery::Late(secs(4)),
+            _ => Delivery::Answered,
         });
         if joins(&stage) {
             break;
         }
     }
     assert!(joins(&stage), "{:?}", stage.orders);
-    assert!(stage.given("cut", &leader).is_some());
+    assert!(stage.first_order("cut", &leader).is_some());
     stage.planner = FleetPlanner::default();
     stage.term = 2;
-    stage.slow.clear();
-    stage.doubted.clear();
+    stage.slow_targets.clear();
+    stage.slow_leaders.clear();
     stage.run(secs(10));
-    stage.assert_sound();
+    stage.assert_no_breaches();
     assert_eq!(stage.sizes(), (6, 6));
 }
 
@@ -61,17 +61,17 @@
 #[test]
 fn members_of_a_leader_that_is_cut_off_and_serves_are_in_no_other_group() {
     for watched in [true, false] {
-        let mut stage = Stage::formed(6);
+        let mut stage = Simulation::formed(6);
         let (leader, _) = stage.group_of(4);
         if !watched {
             stage.planner = FleetPlanner::default();
             stage.term = 2;
         }
-        stage.cut_off(&leader);
+        stage.isolate(&leader);
         stage.run(secs(14));
         stage.heal(&leader);
         stage.run(secs(8));
-        stage.assert_sound();
+        stage.assert_no_breaches();
         assert_eq!(stage.sizes(), (6, 6));
     }
 }
@@ -81,22 +81,22 @@
 /// leader, which no order reached, served.
 #[test]
 fn a_join_that_was_given_to_an_earlier_life_is_refused_by_a_later_one() {
-    let mut stage = Stage::formed(6);
+    let mut stage = Simulation::formed(6);
     let (leader, members) = stage.group_of(4);
-    stage.slow.insert(members[2].clone());
-    stage.doubted.insert(leader.clone());
+    stage.slow_targets.insert(members[2].clone());
+    stage.slow_leaders.insert(leader.clone());
     let member = members[1].clone();
-    while stage.given("join", &member).is_none() {
+    while stage.first_order("join", &member).is_none() {
         stage.step(|order| match order {
-            Order::Join { .. } => Fate::Late(secs(9)),
-            _ => Fate::Done,
+            Order::Join { .. } => Delivery::Late(secs(9)),
+            _ => Delivery::Answered,
         });
     }
     let given = stage.now;
     stage.planner = FleetPlanner::default();
     stage.term = 2;
-    stage.slow.clear();
-    stage.doubted.clear();
+    stage.slow_targets.clear();
+    stage.slow_leaders.clear();
     stage.run(secs(4));
     let serving = stage.engines.serving();
     let serves = serving.iter().any(|(_, all)| all.contains(&member));
@@ -105,13 +105,13 @@
     stage.engines.restart(&member, born).expect("it is known");
     while stage.now < given + secs(11) {
         stage.step(|order| match order {
-            Order::Cut(_) => Fate::Lost,
-            _ => Fate::Done,
+            Order::Cut(_) => Delivery::Lost,
+            _ => Delivery::Answered,
         });
     }
-    stage.assert_sound();
+    stage.assert_no_breaches();
     stage.run(secs(20));
-    stage.assert_sound();
+    stage.assert_no_breaches();
     assert_eq!(stage.sizes(), (6, 6));
 }
 
@@ -119,16 +119,16 @@
 /// is as good as the one that the order was meant for.
 #[test]
 fn a_first_order_without_an_answer_keeps_its_target_out_of_other_groups() {
-    let mut stage = Stage::new(2);
+    let mut stage = Simulation::new(2);
     stage.engines.times.load = Millis::new(500);
     let mut first = None;
     for _ in 0..20 {
         stage.step(|order| match order {
             Order::Join { to, members, .. } if members.len() == 2 && first.is_none() => {
                 first = Some((to.clone(), members.clone()));
-                Fate::Late(secs(9))
+                Delivery::Late(secs(9))
             }
-            _ => Fate::Done,
+            _ => Delivery::Answered,
         });
         if first.is_some() {
             break;
@@ -140,7 +140,7 @@
         stage.engines.kill(lost);
         stage.engines.unlist(lost);
     }
-    let others = |stage: &Stage| {
+    let others = |stage: &Simulation| {
         let joins = stage.orders.iter().filter(|(_, id, _)| *id == members[0]);
         let other = joins.filter(|(_, _, o)| matches!(o, Order::Join { to, .. } if *to != group));
         other.count()
@@ -149,7 +149,7 @@
     assert_eq!(others(&stage), 0, "{:?}", stage.orders);
     stage.run(secs(10));
     assert!(others(&stage) > 0, "{:?}", stage.orders);
-    stage.assert_sound();
+    stage.assert_no_breaches();
 }
 
 /// After an outage of the store most targets of a data centre started again under a planner
@@ -157,7 +157,7 @@
 /// of groups for long, so that no first order of theirs could still arrive.
 #[test]
 fn targets_that_start_again_under_a_new_planner_are_used_at_once() {
-    let mut stage = Stage::formed(6);
+    let mut stage = Simulation::formed(6);
     hand_over(&mut stage);
     stage.run(secs(2));
     let (leader, members) = stage.group_of(4);
@@ -166,21 +166,23 @@
         stage.engines.restart(id, born).expect("it is known");
     }
     stage.run(secs(4));
-    stage.assert_sound();
+    stage.assert_no_breaches();
     assert_eq!(stage.sizes(), (6, 6));
 }
 
 /// The same, of instances that nobody has seen before: they have no earlier life.
 #[test]
 fn instances_that_join_the_list_under_a_new_planner_are_used_at_once() {
-    let mut stage = Stage::formed(2);
+    let mut stage = Simulation::formed(2);
     stage.engines.times.load = Millis::new(500);
     hand_over(&mut stage);
     stage.demand.insert("large".into(), 6.0);
     stage.run(secs(2));
     let added: Vec<TargetId> = (16..24).map(|number| stage.engines.add(number)).collect();
     stage.run(secs(4));
-    let joined = added.iter().filter(|id| stage.given("join", id).is_some());
+    let joined = added
+        .iter()
+        .filter(|id| stage.first_order("join", id).is_some());
     assert!(joined.count() >= 4, "{:?}", stage.orders);
-    stage.assert_sound();
+    stage.assert_no_breaches();
 }
--- a/crates/thistlesill-policy/tests/edge/restarts.rs
+++ b/crates/thistlesill-policy/tests/edge/restarts.rs
@@ -8,7 +8,7 @@
 use thistlesill_policy::edge::load::{LoadTable, Work};
 
 use crate::book::{listed, target};
-use crate::stage::{Fate, STEP, Stage};
+use crate::stage::{Delivery, STEP, Simulation};
 
 const NOW: Millis = Millis::new(1_000_000);
 const BORN: Incarnation = Incarnation::new(1_790_000_000_000);
@@ -150,37 +150,41 @@
 
 #[test]
 fn a_group_whose_member_started_again_is_cut_and_replaced_at_once() {
-    let mut stage = Stage::formed(6);
+    let mut stage = Simulation::formed(6);
     let (leader, members) = stage.group_of(4);
     stage.engines.restart(&members[2], AGAIN);
     stage.run(STEP);
-    assert!(stage.given("cut", &leader).is_some(), "{:?}", stage.orders);
+    assert!(
+        stage.first_order("cut", &leader).is_some(),
+        "{:?}",
+        stage.orders
+    );
     stage.run(Millis::new(4_000));
     assert_eq!(stage.sizes(), (6, 6));
-    stage.assert_sound();
+    stage.assert_no_breaches();
 }
 
 #[test]
 fn a_leader_that_started_again_leaves_its_members_free() {
-    let mut stage = Stage::formed(6);
+    let mut stage = Simulation::formed(6);
     let (leader, members) = stage.group_of(4);
     stage.engines.restart(&leader, AGAIN);
     // Some daemon has not noticed yet.
     stage.working.insert(leader.clone());
     stage.run(Millis::new(300));
     // What its earlier life was told is nothing to the new one.
-    assert!(stage.given("cut", &leader).is_none());
+    assert!(stage.first_order("cut", &leader).is_none());
     let joins = members[1..].iter();
-    let joined = joins.filter(|id| stage.given("join", id).is_some());
+    let joined = joins.filter(|id| stage.first_order("join", id).is_some());
     assert!(joined.count() >= 2, "{:?}", stage.orders);
     stage.run(Millis::new(3_000));
     assert_eq!(stage.sizes(), (6, 6));
-    stage.assert_sound();
+    stage.assert_no_breaches();
 }
 
 #[test]
 fn an_instance_waits_for_the_end_of_the_group_of_its_earlier_life() {
-    let mut stage = Stage::formed(1);
+    let mut stage = Simulation::formed(1);
     let (leader, members) = stage.group_of(2);
     // Full as it is, its model would have another group of one spare and the instance
     // that starts again.
@@ -194,22 +198,22 @@
     for _ in 0..40 {
         stage.now = stage.now + STEP;
         stage.engines.advance(stage.now);
-        stage.look(|order| match order {
-            Order::Cut(_) => Fate::Lost,
-            _ => Fate::Done,
+        stage.step_planner(|order| match order {
+            Order::Cut(_) => Delivery::Lost,
+            _ => Delivery::Answered,
         });
     }
     assert!(stage.engines.serving().iter().any(|(l, _)| *l == leader));
-    let told = |stage: &Stage| stage.orders.iter().any(|(_, id, _)| *id == new);
+    let told = |stage: &Simulation| stage.orders.iter().any(|(_, id, _)| *id == new);
     assert!(!told(&stage), "{:?}", stage.orders);
     stage.run(Millis::new(4_000));
     assert!(told(&stage), "{:?}", stage.orders);
-    stage.assert_sound();
+    stage.assert_no_breaches();
 }
 
 #[test]
 fn a_group_whose_member_was_taken_by_a_late_order_is_cut() {
-    let mut stage = Stage::formed(6);
+    let mut stage = Simulation::formed(6);
     let (leader, members) = stage.group_of(4);
     let stray = Order::Join {
         to: GroupRef {
@@ -222,12 +226,16 @@
     };
     stage.engines.order(&members[1], &stray, stage.now);
     stage.run(STEP);
-    assert!(stage.given("cut", &leader).is_some(), "{:?}", stage.orders);
+    assert!(
+        stage.first_order("cut", &leader).is_some(),
+        "{:?}",
+        stage.orders
+    );
 }
 
 #[test]
 fn a_probe_tells_of_a_restart_before_the_list_does() {
-    let mut stage = Stage::formed(6);
+    let mut stage = Simulation::formed(6);
     let (leader, members) = stage.group_of(4);
     stage
         .planner
@@ -239,12 +247,16 @@
         both
     });
     stage.run(STEP);
-    assert!(stage.given("cut", &leader).is_some(), "{:?}", stage.orders);
+    assert!(
+        stage.first_order("cut", &leader).is_some(),
+        "{:?}",
+        stage.orders
+    );
 }
 
 #[test]
 fn a_join_of_the_earlier_life_that_comes_late_opens_nothing() {
-    let mut stage = Stage::formed(2);
+    let mut stage = Simulation::formed(2);
     let (leader, members) = stage.group_of(4);
     let group = stage.engines.listed()[&leader]
         .member
@@ -268,12 +280,12 @@
         member.is_none_or(|m| m.of != group || m.state != MemberState::Open),
         "a group of the earlier life serves again"
     );
-    stage.assert_sound();
+    stage.assert_no_breaches();
 }
 
 #[test]
 fn a_planner_that_takes_over_finds_restarts_of_before_its_lease() {
-    let mut stage = Stage::formed(6);
+    let mut stage = Simulation::formed(6);
     let (leader, members) = stage.group_of(4);
     let mut other = FleetPlanner::default();
     other.watch(&stage.engines.listed(), stage.now);
@@ -282,8 +294,12 @@
     stage.planner = other;
     stage.term += 1;
     stage.run(STEP);
-    assert!(stage.given("cut", &leader).is_some(), "{:?}", stage.orders);
-    stage.assert_sound();
+    assert!(
+        stage.first_order("cut", &leader).is_some(),
+        "{:?}",
+        stage.orders
+    );
+    stage.assert_no_breaches();
 }
 
 #[test]
--- a/crates/thistlesill-policy/tests/edge/search.rs
+++ b/crates/thistlesill-policy/tests/edge/search.rs
@@ -12,7 +12,7 @@
 use thistlesill_core::edge::{Incarnation, Order, TargetId};
 use thistlesill_policy::edge::fleet::{FleetPlanner, LateJoins};
 
-use crate::stage::{Fate, STEP, Stage};
+use crate::stage::{Delivery, STEP, Simulation};
 
 /// Seeds that are searched unless the environment names another number.
 const SEEDS: u64 = 400;
@@ -35,7 +35,7 @@
 
 /// One run.
 struct Search {
-    stage: Stage,
+    stage: Simulation,
     rng: SmallRng,
     /// Engines that are cut off, and until when.
     cuts: Vec<(TargetId, Millis)>,
@@ -48,7 +48,7 @@
 impl Search {
     fn new(seed: u64) -> Self {
         Self {
-            stage: Stage::new(DOMAINS),
+            stage: Simulation::new(DOMAINS),
             rng: SmallRng::seed_from_u64(seed),
             cuts: Vec::new(),
             joins: 0,
@@ -74,14 +74,14 @@
     fn step(&mut self, number: u32) {
         let stage = &mut self.stage;
         stage.now = stage.now + STEP;
-        stage.calm = number < CALM;
+        stage.before_traffic = number < CALM;
         stage.engines.advance(stage.now);
-        stage.carry_out_late();
+        stage.deliver_late();
         if number > CALM {
             self.disturb();
         }
         let rng = &mut self.rng;
-        self.stage.look(|order| fate(order, rng));
+        self.stage.step_planner(|order| fate(order, rng));
         if number.is_multiple_of(BEAT_STEPS) {
             self.beat();
         }
@@ -118,14 +118,14 @@
             && let Some(id) = self.draw()
         {
             let time = self.time();
-            self.stage.cut_off(&id);
+            self.stage.isolate(&id);
             self.cuts.push((id, now + time));
         }
         if self.one_in(80)
             && let Some(id) = self.draw()
         {
             self.stage.engines.unlist(&id);
-            self.stage.note(format!("{id} leaves the list"));
+            self.stage.log(format!("{id} leaves the list"));
             let time = self.time();
             self.cuts.push((id, now + time));
         }
@@ -136,18 +136,18 @@
             let off = self.rng.random_range(0..2 * CLOCK_OFF);
             let born = self.stage.wall() + off - CLOCK_OFF;
             self.stage.engines.restart(&id, Incarnation::new(born));
-            self.stage.note(format!("{id} starts again, born {born}"));
+            self.stage.log(format!("{id} starts again, born {born}"));
         }
         if self.one_in(40)
             && let Some(id) = self.draw()
         {
             // A slow member: its group is cut, and others take its place.
-            self.stage.slow.insert(id);
+            self.stage.slow_targets.insert(id);
             let leaders = self.stage.engines.serving();
-            self.stage.doubted = leaders.into_iter().map(|(leader, _)| leader).collect();
+            self.stage.slow_leaders = leaders.into_iter().map(|(leader, _)| leader).collect();
         } else if self.one_in(40) {
-            self.stage.slow.clear();
-            self.stage.doubted.clear();
+            self.stage.slow_targets.clear();
+            self.stage.slow_leaders.clear();
         }
         self.succeed();
     }
@@ -173,7 +173,7 @@
             self.stage.term,
             self.stage.planner.knows_late_joins(self.stage.now),
         );
-        self.stage.note(format!(
+        self.stage.log(format!(
             "{SUCCESSION} {term}, watched {watched}, knows late joins {knows}"
         ));
     }
@@ -188,15 +188,15 @@
     }
 }
 
-fn fate(order: &Order, rng: &mut SmallRng) -> Fate {
+fn fate(order: &Order, rng: &mut SmallRng) -> Delivery {
     let late = Millis::new(rng.random_range(500..12_000));
     let drawn = rng.random_range(0..20);
     match (order, drawn) {
-        (_, 0) => Fate::Lost,
-        (_, 1) => Fate::Unanswered,
-        (_, 2) => Fate::Twice(late),
-        (Order::Join { .. }, 3..6) | (_, 3) => Fate::Late(late),
-        _ => Fate::Done,
+        (_, 0) => Delivery::Lost,
+        (_, 1) => Delivery::Unanswered,
+        (_, 2) => Delivery::Twice(late),
+        (Order::Join { .. }, 3..6) | (_, 3) => Delivery::Late(late),
+        _ => Delivery::Answered,
     }
 }
 
--- a/crates/thistlesill-policy/tests/edge/stage.rs
+++ b/crates/thistlesill-policy/tests/edge/stage.rs
@@ -15,19 +15,19 @@
 pub(crate) const STEP: Millis = Millis::new(100);
 
 /// An order that is carried out later.
-pub(crate) struct Late {
+pub(crate) struct LateOrder {
     at: Millis,
     target: TargetId,
     order: Order,
 }
 
 /// The planner, the engines and the time.
-pub(crate) struct Stage {
+pub(crate) struct Simulation {
     pub(crate) engines: Engines,
     pub(crate) planner: FleetPlanner,
     pub(crate) term: u64,
     pub(crate) now: Millis,
-    pub(crate) calm: bool,
+    pub(crate) before_traffic: bool,
     /// Leaders at which daemons have requests that make progress.
     pub(crate) working: HashSet<TargetId>,
     /// Requests at leaders.
@@ -35,41 +35,41 @@
     /// The work that each model is asked for.
     pub(crate) demand: Demand,
     /// Parts of leaders' usual work that their limits leave.
-    pub(crate) rooms: HashMap<TargetId, f64>,
+    pub(crate) capacity_ratios: HashMap<TargetId, f64>,
     /// Data centres that are evacuated.
     pub(crate) evacuated: BTreeSet<HallId>,
     /// Targets that are slow.
-    pub(crate) slow: HashSet<TargetId>,
+    pub(crate) slow_targets: HashSet<TargetId>,
     /// Leaders whose streams are slow.
-    pub(crate) doubted: HashSet<TargetId>,
+    pub(crate) slow_leaders: HashSet<TargetId>,
     /// All orders that were given, with their times.
     pub(crate) orders: Vec<(Millis, TargetId, Order)>,
-    pub(crate) late: VecDeque<Late>,
+    pub(crate) late_orders: VecDeque<LateOrder>,
     /// Engines that no order and no probe reaches.
-    pub(crate) cut: HashSet<TargetId>,
+    pub(crate) isolated: HashSet<TargetId>,
     /// What happened to engines and to the planner, in the order of time.
     events: Vec<(Millis, String)>,
     engine: Engine,
 }
 
-impl Stage {
+impl Simulation {
     pub(crate) fn new(domains: usize) -> Self {
         Self {
             engines: Engines::new(domains),
             planner: FleetPlanner::default(),
             term: 1,
             now: Millis::new(1_000_000),
-            calm: true,
+            before_traffic: true,
             working: HashSet::new(),
             requests: HashMap::new(),
             demand: Demand::new(),
-            rooms: HashMap::new(),
+            capacity_ratios: HashMap::new(),
             evacuated: BTreeSet::new(),
-            slow: HashSet::new(),
-            doubted: HashSet::new(),
+            slow_targets: HashSet::new(),
+            slow_leaders: HashSet::new(),
             orders: Vec::new(),
-            late: VecDeque::new(),
-            cut: HashSet::new(),
+            late_orders: VecDeque::new(),
+            isolated: HashSet::new(),
             events: Vec::new(),
             engine: engine(),
         }
@@ -80,7 +80,7 @@
         let mut stage = Self::new(domains);
         // Three rounds of loads, which the fakes do not shorten.
         stage.run(Millis::new(120_000));
-        stage.calm = false;
+        stage.before_traffic = false;
         stage.orders.clear();
         stage
     }
@@ -89,60 +89,60 @@
     pub(crate) fn run(&mut self, time: Millis) {
         let end = self.now + time;
         while self.now < end {
-            self.step(|_| Fate::Done);
+            self.step(|_| Delivery::Answered);
         }
     }
 
     /// Lets one step of time pass; `fate` says what becomes of each order.
-    pub(crate) fn step(&mut self, fate: impl FnMut(&Order) -> Fate) {
+    pub(crate) fn step(&mut self, fate: impl FnMut(&Order) -> Delivery) {
         self.now = self.now + STEP;
         self.engines.advance(self.now);
-        self.carry_out_late();
-        self.look(fate);
+        self.deliver_late();
+        self.step_planner(fate);
     }
 
     /// One look of the planner; `fate` says what becomes of each order.
-    pub(crate) fn look(&mut self, mut fate: impl FnMut(&Order) -> Fate) {
+    pub(crate) fn step_planner(&mut self, mut fate: impl FnMut(&Order) -> Delivery) {
         let targets = self.engines.listed();
         let stalled = self.engines.stalled();
         let view = FleetView {
             targets: &targets,
             engine: &self.engine,
             stalled: &stalled,
-            slow: &self.doubted,
+            slow: &self.slow_leaders,
             working: &self.working,
             requests: &self.requests,
             demand: &self.demand,
-            capacity_ratios: &self.rooms,
+            capacity_ratios: &self.capacity_ratios,
             evacuated: &self.evacuated,
             term: self.term,
             wall: self.wall(),
-            before_traffic: self.calm,
+            before_traffic: self.before_traffic,
         };
         for action in self.planner.step(&view, self.now) {
             match action {
                 FleetAction::SendOrder { target, order, .. } => {
                     self.orders.push((self.now, target.clone(), order.clone()));
-                    let fate = if self.cut.contains(&target) {
-                        Fate::Lost
+                    let fate = if self.isolated.contains(&target) {
+                        Delivery::Lost
                     } else {
                         fate(&order)
                     };
-                    self.note(format!("{target} {order:?} {fate:?}"));
+                    self.log(format!("{target} {order:?} {fate:?}"));
                     let reply = match fate {
-                        Fate::Done => self.engines.order(&target, &order, self.now),
-                        Fate::Lost => OrderReply::Unknown,
-                        Fate::Refused => OrderReply::Refused,
-                        Fate::Late(after) => {
-                            self.hold(&target, &order, after);
+                        Delivery::Answered => self.engines.order(&target, &order, self.now),
+                        Delivery::Lost => OrderReply::Unknown,
+                        Delivery::Refused => OrderReply::Refused,
+                        Delivery::Late(after) => {
+                            self.delay(&target, &order, after);
                             OrderReply::Unknown
                         }
-                        Fate::Twice(after) => {
-                            self.hold(&target, &order, after);
+                        Delivery::Twice(after) => {
+                            self.delay(&target, &order, after);
                             self.engines.order(&target, &order, self.now);
                             OrderReply::Unknown
                         }
-                        Fate::Unanswered => {
+                        Delivery::Unanswered => {
                             self.engines.order(&target, &order, self.now);
                             OrderReply::Unknown
                         }
@@ -150,9 +150,9 @@
                     self.planner.record_reply(&target, &order, reply, self.now);
                 }
                 FleetAction::Probe { target, .. } => {
-                    let reached = !self.cut.contains(&target);
+                    let reached = !self.isolated.contains(&target);
                     let found = match reached && self.engines.is_alive(&target) {
-                        true if self.slow.contains(&target) => ProbeOutcome::Slow,
+                        true if self.slow_targets.contains(&target) => ProbeOutcome::Slow,
                         true => ProbeOutcome::Healthy,
                         false => ProbeOutcome::Unresponsive,
                     };
@@ -172,7 +172,7 @@
     }
 
     /// Notes something that happened now.
-    pub(crate) fn note(&mut self, event: String) {
+    pub(crate) fn log(&mut self, event: String) {
         self.events.push((self.now, event));
     }
 
@@ -184,8 +184,8 @@
     }
 
     /// Has an order carried out later.
-    fn hold(&mut self, target: &TargetId, order: &Order, after: Millis) {
-        self.late.push_back(Late {
+    fn delay(&mut self, target: &TargetId, order: &Order, after: Millis) {
+        self.late_orders.push_back(LateOrder {
             at: self.now + after,
             target: target.clone(),
             order: order.clone(),
@@ -193,17 +193,17 @@
     }
 
     /// Cuts an engine off: it leaves the list, and nothing reaches it; it works on.
-    pub(crate) fn cut_off(&mut self, id: &TargetId) {
+    pub(crate) fn isolate(&mut self, id: &TargetId) {
         self.engines.unlist(id);
-        self.cut.insert(id.clone());
-        self.note(format!("{id} is cut off"));
+        self.isolated.insert(id.clone());
+        self.log(format!("{id} is cut off"));
     }
 
     /// Ends that.
     pub(crate) fn heal(&mut self, id: &TargetId) {
         self.engines.relist(id);
-        self.cut.remove(id);
-        self.note(format!("{id} is reached again"));
+        self.isolated.remove(id);
+        self.log(format!("{id} is reached again"));
     }
 
     /// How the planner says that the fleet stands.
@@ -217,27 +217,28 @@
             working: &self.working,
             requests: &self.requests,
             demand: &self.demand,
-            capacity_ratios: &self.rooms,
+            capacity_ratios: &self.capacity_ratios,
             evacuated: &self.evacuated,
             term: self.term,
             wall: self.wall(),
-            before_traffic: self.calm,
+            before_traffic: self.before_traffic,
         })
     }
 
-    pub(crate) fn carry_out_late(&mut self) {
-        let late = std::mem::take(&mut self.late);
-        let (due, rest): (VecDeque<Late>, _) = late.into_iter().partition(|l| l.at <= self.now);
-        self.late = rest;
+    pub(crate) fn deliver_late(&mut self) {
+        let late = std::mem::take(&mut self.late_orders);
+        let (due, rest): (VecDeque<LateOrder>, _) =
+            late.into_iter().partition(|l| l.at <= self.now);
+        self.late_orders = rest;
         for late in due {
             let reply = self.engines.order(&late.target, &late.order, self.now);
             let (target, order) = (late.target, late.order);
-            self.note(format!("{target} {order:?} late: {reply:?}"));
+            self.log(format!("{target} {order:?} late: {reply:?}"));
         }
     }
 
     /// When an order of this name was first given to a target.
-    pub(crate) fn given(&self, name: &str, target: &TargetId) -> Option<Millis> {
+    pub(crate) fn first_order(&self, name: &str, target: &TargetId) -> Option<Millis> {
         let found = self
             .orders
             .iter()
@@ -246,7 +247,7 @@
     }
 
     /// Asserts that the engines saw no breach of what must always hold.
-    pub(crate) fn assert_sound(&self) {
+    pub(crate) fn assert_no_breaches(&self) {
         let breaches = &self.engines.breaches;
         assert!(breaches.is_empty(), "{breaches:?}");
     }
@@ -276,9 +277,9 @@
 
 /// What becomes of an order.
 #[derive(Debug, Clone, Copy)]
-pub(crate) enum Fate {
+pub(crate) enum Delivery {
     /// It is carried out and answered.
-    Done,
+    Answered,
     /// It never arrives.
     Lost,
     /// The engine accepts no connection.
