--- a/crates/thistlesill-policy/examples/looks.rs
+++ b/crates/thistlesill-policy/examples/looks.rs
@@ -1,7 +1,7 @@
-//! # What a look at a fleet costs
+//! # Time of a planner's step
 //!
-//! Times one look of a daemon that plans and of one that only watches, before fleets of
-//! three sizes that all serve, and what the watching of all daemons costs together.
+//! Measures one step of a daemon that plans and of one that only watches, with fleets of three
+//! sizes whose groups all serve, and the time that all watching daemons need together.
 //!
 //! Run with `cargo run --release -p thistlesill-policy --example looks`.
 
@@ -14,28 +14,28 @@
 use thistlesill_fakes::engines::engine;
 use thistlesill_policy::edge::fleet::{Demand, FleetPlanner, FleetView};
 
-/// Looks that are timed.
-const LOOKS: u32 = 50;
+/// Number of steps that are timed.
+const STEPS: u32 = 50;
 /// Members of each group.
-const SIZE: usize = 4;
-/// Targets of a domain.
-const DOMAIN: usize = 8;
-/// Targets before each daemon.
-const TARGETS_EACH: usize = 10;
-/// Daemons that watch: three of each of three data centres.
-const WATCHING: u32 = 9;
+const GROUP_SIZE: usize = 4;
+/// Targets of each domain.
+const DOMAIN_SIZE: usize = 8;
+/// Targets per daemon of the fleet.
+const TARGETS_PER_DAEMON: usize = 10;
+/// Daemons that watch: three in each of three data centres.
+const WATCHERS: u32 = 9;
 
 fn main() {
     for daemons in [30_u32, 100, 300] {
-        let targets = fleet(daemons as usize * TARGETS_EACH);
+        let targets = fleet(daemons as usize * TARGETS_PER_DAEMON);
         let watch = time_watch(&targets);
         let plan = time_plan(&targets);
         println!(
-            "{daemons} daemons, {} targets: a look {watch:?} watching, {plan:?} planning; \
-             one look of all daemons {:?}, of those that may succeed {:?}",
+            "{daemons} daemons, {} targets: a step {watch:?} watching, {plan:?} planning; \
+             one step of all daemons {:?}, of those that may take over {:?}",
             targets.len(),
             watch * daemons,
-            watch * WATCHING,
+            watch * WATCHERS,
         );
     }
 }
@@ -48,19 +48,19 @@
 fn time_plan(targets: &HashMap<TargetId, Target>) -> Duration {
     let mut planner = FleetPlanner::default();
     let engine = engine();
-    let (none, no_requests, no_rooms) = (HashSet::new(), HashMap::new(), HashMap::new());
-    let (demand, nowhere) = (Demand::new(), BTreeSet::new());
+    let (no_targets, no_requests, no_ratios) = (HashSet::new(), HashMap::new(), HashMap::new());
+    let (demand, no_halls) = (Demand::new(), BTreeSet::new());
     time(|now| {
         let view = FleetView {
             targets,
             engine: &engine,
-            stalled: &none,
-            slow: &none,
-            working: &none,
+            stalled: &no_targets,
+            slow: &no_targets,
+            working: &no_targets,
             requests: &no_requests,
             demand: &demand,
-            capacity_ratios: &no_rooms,
-            evacuated: &nowhere,
+            capacity_ratios: &no_ratios,
+            evacuated: &no_halls,
             term: 1,
             wall: 0,
             before_traffic: false,
@@ -69,20 +69,20 @@
     })
 }
 
-/// The mean time of a look after the first ones.
-fn time(mut look: impl FnMut(Millis)) -> Duration {
+/// Returns the mean time of a step after [`STEPS`] untimed ones.
+fn time(mut step: impl FnMut(Millis)) -> Duration {
     let at = |number: u32| Millis::new(1_000_000 + 200 * u64::from(number));
-    for number in 0..LOOKS {
-        look(at(number));
+    for number in 0..STEPS {
+        step(at(number));
     }
     let begin = Instant::now();
-    for number in LOOKS..2 * LOOKS {
-        look(at(number));
+    for number in STEPS..2 * STEPS {
+        step(at(number));
     }
-    begin.elapsed() / LOOKS
+    begin.elapsed() / STEPS
 }
 
-/// Targets in groups that all serve.
+/// Returns targets in groups that all serve.
 fn fleet(count: usize) -> HashMap<TargetId, Target> {
     let ids: BTreeSet<String> = (0..count).map(|n| format!("i-{n:06x}")).collect();
     let targets = ids.iter().enumerate().map(|(n, id)| target(n, id));
@@ -90,8 +90,8 @@
 }
 
 fn target(number: usize, id: &str) -> Target {
-    let rank = (number % SIZE) as u32;
-    let epoch = (1 << 20) + (number / SIZE) as u64;
+    let rank = (number % GROUP_SIZE) as u32;
+    let epoch = (1 << 20) + (number / GROUP_SIZE) as u64;
     let state = if rank == 0 {
         MemberState::Open
     } else {
@@ -105,7 +105,7 @@
         slots: 26,
         leaving: false,
         warmup: Millis::ZERO,
-        domain: Some(format!("d-{}", number / DOMAIN).into()),
+        domain: Some(format!("d-{}", number / DOMAIN_SIZE).into()),
         staged: vec!["large".into()],
         member: Some(Membership {
             of: GroupRef {
--- a/crates/thistlesill-policy/src/edge/fleet/survey.rs
+++ b/crates/thistlesill-policy/src/edge/fleet/survey.rs
@@ -132,12 +132,14 @@
         now: Millis,
     ) -> Decision {
         let decision = self.decide_by_state(view, group, observed, now);
-        let doubtful = self.may_open_late(group, observed);
+        let may_open_late = self.may_open_late(group, observed);
         let leader = self.leaders.get(group);
         let is_unresponsive = leader.is_some_and(|id| self.is_dead(id) || self.is_gone(id, now));
         let decision = match decision {
-            Decision::Ended | Decision::Standby if doubtful && is_unresponsive => Decision::Release,
-            Decision::Ended | Decision::Standby if doubtful => Decision::Dissolve,
+            Decision::Ended | Decision::Standby if may_open_late && is_unresponsive => {
+                Decision::Release
+            }
+            Decision::Ended | Decision::Standby if may_open_late => Decision::Dissolve,
             decision => decision,
         };
         match decision {
--- a/crates/thistlesill-policy/tests/edge/evacuated_groups.rs
+++ b/crates/thistlesill-policy/tests/edge/evacuated_groups.rs
@@ -1,4 +1,4 @@
-//! What a planner does with the groups of data centres that are evacuated.
+//! Tests the planner's treatment of groups in evacuated data centres.
 
 use thistlesill_core::edge::TargetId;
 use thistlesill_core::{DomainId, Millis};
@@ -11,76 +11,81 @@
     Millis::new(s * 1_000)
 }
 
-/// Six domains with groups that serve, two of them in a data centre of their own.
+/// Returns six domains with serving groups, two of them in a data centre of their own, and the ids
+/// of the targets there.
 fn two_halls() -> (Simulation, Vec<TargetId>) {
-    let mut stage = Simulation::formed(6);
-    let listed = stage.engines.listed();
-    let there = listed.values().filter(|t| {
+    let mut sim = Simulation::formed(6);
+    let listed = sim.engines.listed();
+    let evacuated_ids = listed.values().filter(|t| {
         let domain = t.domain.as_ref().map_or("", DomainId::as_str);
         domain.ends_with('0') || domain.ends_with('1')
     });
-    let there: Vec<TargetId> = there.map(|t| t.id.clone()).collect();
-    assert!(!there.is_empty() && there.len() < listed.len());
-    for id in &there {
-        stage.engines.place_in(id, HALL);
+    let evacuated_ids: Vec<TargetId> = evacuated_ids.map(|t| t.id.clone()).collect();
+    assert!(!evacuated_ids.is_empty() && evacuated_ids.len() < listed.len());
+    for id in &evacuated_ids {
+        sim.engines.place_in(id, HALL);
     }
-    (stage, there)
+    (sim, evacuated_ids)
 }
 
 #[test]
 fn groups_stay_as_they_are_and_none_is_formed_while_their_data_centre_is_evacuated() {
-    let (mut stage, there) = two_halls();
-    let before = stage.engines.serving();
-    stage.evacuated.insert(HALL.into());
-    stage.run(secs(20));
-    let orders = stage.orders.iter().filter(|(_, t, _)| there.contains(t));
+    let (mut sim, evacuated_ids) = two_halls();
+    let before = sim.engines.serving();
+    sim.evacuated.insert(HALL.into());
+    sim.run(secs(20));
+    let orders = sim
+        .orders
+        .iter()
+        .filter(|(_, t, _)| evacuated_ids.contains(t));
     let orders: Vec<_> = orders.collect();
     assert!(orders.is_empty(), "{orders:?}");
-    let serving = stage.engines.serving();
-    let kept = |leader: &TargetId| serving.iter().any(|(l, _)| l == leader);
-    let away = before.iter().filter(|(l, _)| there.contains(l));
-    assert!(away.clone().count() > 0);
-    assert!(away.clone().all(|(leader, _)| kept(leader)));
-    stage.assert_no_breaches();
+    let serving = sim.engines.serving();
+    let is_serving = |leader: &TargetId| serving.iter().any(|(l, _)| l == leader);
+    let evacuated_groups = before.iter().filter(|(l, _)| evacuated_ids.contains(l));
+    assert!(evacuated_groups.clone().count() > 0);
+    assert!(
+        evacuated_groups
+            .clone()
+            .all(|(leader, _)| is_serving(leader))
+    );
+    sim.assert_no_breaches();
 }
 
 #[test]
 fn a_group_that_loses_a_member_during_an_evacuation_is_formed_again_after_it() {
-    let (mut stage, there) = two_halls();
-    let groups = stage.engines.serving().into_iter();
-    let groups = groups.filter(|(leader, _)| there.contains(leader));
+    let (mut sim, evacuated_ids) = two_halls();
+    let groups = sim.engines.serving().into_iter();
+    let groups = groups.filter(|(leader, _)| evacuated_ids.contains(leader));
     let count = groups.clone().count();
-    stage.evacuated.insert(HALL.into());
-    stage.run(secs(1));
+    sim.evacuated.insert(HALL.into());
+    sim.run(secs(1));
     let (_, members) = groups.max_by_key(|(_, m)| m.len()).expect("a group");
-    stage.engines.kill(&members[1]);
-    stage.engines.unlist(&members[1]);
-    stage.run(secs(12));
-    let serving = |stage: &Simulation| {
-        let groups = stage.engines.serving().into_iter();
-        groups.filter(|(l, _)| there.contains(l)).count()
+    sim.engines.kill(&members[1]);
+    sim.engines.unlist(&members[1]);
+    sim.run(secs(12));
+    let serving = |sim: &Simulation| {
+        let groups = sim.engines.serving().into_iter();
+        groups.filter(|(l, _)| evacuated_ids.contains(l)).count()
     };
-    assert!(
-        serving(&stage) < count,
-        "a lost group is not replaced there"
-    );
-    stage.evacuated.clear();
-    stage.run(secs(20));
-    assert_eq!(serving(&stage), count);
-    stage.assert_no_breaches();
+    assert!(serving(&sim) < count, "a lost group is not replaced there");
+    sim.evacuated.clear();
+    sim.run(secs(20));
+    assert_eq!(serving(&sim), count);
+    sim.assert_no_breaches();
 }
 
-/// The rest of the fleet has a smaller fair number of groups, not a larger one: all of its
-/// targets but the spares are in groups already.
+/// The rest of the fleet has fewer desired groups than before, not more: all of its targets except
+/// the spares are in groups already.
 #[test]
 fn other_data_centres_keep_their_groups_while_one_is_evacuated() {
-    let (mut stage, there) = two_halls();
-    let elsewhere = |stage: &Simulation| {
-        let groups = stage.engines.serving().into_iter();
-        groups.filter(|(l, _)| !there.contains(l)).count()
+    let (mut sim, evacuated_ids) = two_halls();
+    let other_groups = |sim: &Simulation| {
+        let groups = sim.engines.serving().into_iter();
+        groups.filter(|(l, _)| !evacuated_ids.contains(l)).count()
     };
-    let before = elsewhere(&stage);
-    stage.evacuated.insert(HALL.into());
-    stage.run(secs(20));
-    assert!(elsewhere(&stage) >= before);
+    let before = other_groups(&sim);
+    sim.evacuated.insert(HALL.into());
+    sim.run(secs(20));
+    assert!(other_groups(&sim) >= before);
 }
--- a/crates/thistlesill-policy/tests/edge/fleet_random.rs
+++ b/crates/thistlesill-policy/tests/edge/fleet_random.rs
@@ -1,5 +1,5 @@
-//! Random runs: engines die, leave and vanish from the list, orders are lost,
-//! late or unanswered, and planners take over from each other.
+//! Random runs in which engines die, shut down and vanish from the list, orders are lost, late or
+//! unanswered, and planners replace each other.
 
 use quickcheck::TestResult;
 use rand::rngs::SmallRng;
@@ -15,59 +15,59 @@
 /// Steps of one run, 50 s.
 const STEPS: u32 = 500;
 
-fn disturb(stage: &mut Simulation, rng: &mut SmallRng) {
-    let mut ids: Vec<TargetId> = stage.engines.listed().into_keys().collect();
+fn disturb(sim: &mut Simulation, rng: &mut SmallRng) {
+    let mut ids: Vec<TargetId> = sim.engines.listed().into_keys().collect();
     ids.sort();
     if ids.is_empty() {
         return;
     }
     let id = ids[rng.random_range(0..ids.len())].clone();
     match rng.random_range(0..200) {
-        0 => stage.engines.kill(&id),
-        1 => stage.engines.unlist(&id),
-        2 => stage.engines.leave(&id),
+        0 => sim.engines.kill(&id),
+        1 => sim.engines.unlist(&id),
+        2 => sim.engines.leave(&id),
         3 => {
             // The new planner has watched the list like every daemon.
-            let mut other = FleetPlanner::default();
-            other.watch(&stage.engines.listed(), stage.now);
-            stage.planner = other;
-            stage.term += 1;
+            let mut successor = FleetPlanner::default();
+            successor.watch(&sim.engines.listed(), sim.now);
+            sim.planner = successor;
+            sim.term += 1;
         }
         4 => {
             let number = 48 + rng.random_range(0..40);
-            stage.engines.add(number);
+            sim.engines.add(number);
         }
         _ => {}
     }
 }
 
-/// Now and then callers ask for other models than before. The draws are apart
-/// from the others, so that older seeds meet the same disturbances.
-fn turn_demand(stage: &mut Simulation, rng: &mut SmallRng) {
+/// Changes the demand for the models at random times. A separate generator keeps the disturbances
+/// of older seeds the same.
+fn change_demand(sim: &mut Simulation, rng: &mut SmallRng) {
     if rng.random_range(0..50) > 0 {
         return;
     }
     let work: u32 = rng.random_range(0..80);
     for (model, work) in [("large", work), ("small", 80 - work)] {
-        stage.demand.insert(model.into(), f64::from(work) / 10.0);
+        sim.demand.insert(model.into(), f64::from(work) / 10.0);
     }
 }
 
-/// Now and then an engine starts again under its id, dead or alive; its clock may have
-/// jumped back. The draws are apart from the others, too.
-fn restart(stage: &mut Simulation, rng: &mut SmallRng) {
+/// Restarts an engine under its id at random times, whether it is dead or alive. Its clock may have
+/// jumped back. A separate generator is used here, too.
+fn restart(sim: &mut Simulation, rng: &mut SmallRng) {
     if rng.random_range(0..60) > 0 {
         return;
     }
-    let mut ids: Vec<TargetId> = stage.engines.listed().into_keys().collect();
+    let mut ids: Vec<TargetId> = sim.engines.listed().into_keys().collect();
     ids.sort();
     if let Some(id) = ids.choose(rng) {
         let born = Incarnation::new(rng.random_range(1..u64::MAX));
-        stage.engines.restart(id, born);
+        sim.engines.restart(id, born);
     }
 }
 
-fn fate(rng: &mut SmallRng) -> Delivery {
+fn random_delivery(rng: &mut SmallRng) -> Delivery {
     match rng.random_range(0..20) {
         0 => Delivery::Lost,
         1 => Delivery::Unanswered,
@@ -76,52 +76,52 @@
     }
 }
 
-fn play(seed: u64) -> Simulation {
-    play_with(seed, false)
+fn run_seed(seed: u64) -> Simulation {
+    run_with(seed, false)
 }
 
-fn play_with(seed: u64, restarts: bool) -> Simulation {
+fn run_with(seed: u64, restarts: bool) -> Simulation {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let mut asking = SmallRng::seed_from_u64(!seed);
-    let mut starting = SmallRng::seed_from_u64(seed.rotate_left(32));
-    let mut stage = Simulation::new(6);
+    let mut demand_rng = SmallRng::seed_from_u64(!seed);
+    let mut restart_rng = SmallRng::seed_from_u64(seed.rotate_left(32));
+    let mut sim = Simulation::new(6);
     for step in 0..STEPS {
-        stage.now = stage.now + STEP;
-        stage.before_traffic = step < 100;
-        stage.engines.advance(stage.now);
-        stage.deliver_late();
+        sim.now = sim.now + STEP;
+        sim.before_traffic = step < 100;
+        sim.engines.advance(sim.now);
+        sim.deliver_late();
         if step > 60 {
-            disturb(&mut stage, &mut rng);
-            turn_demand(&mut stage, &mut asking);
+            disturb(&mut sim, &mut rng);
+            change_demand(&mut sim, &mut demand_rng);
             if restarts {
-                restart(&mut stage, &mut starting);
+                restart(&mut sim, &mut restart_rng);
             }
         }
-        stage.step_planner(|_| fate(&mut rng));
+        sim.step_planner(|_| random_delivery(&mut rng));
     }
-    stage
+    sim
 }
 
 seeded! {
     fn no_group_serves_without_its_members_and_none_shares_one(seed: u64) -> TestResult {
-        let stage = play(seed);
-        match stage.engines.breaches.first() {
+        let sim = run_seed(seed);
+        match sim.engines.breaches.first() {
             None => TestResult::passed(),
             Some(breach) => TestResult::error(format!("seed {seed}: {breach}")),
         }
     }
 
     fn none_does_where_engines_start_again_under_their_ids(seed: u64) -> TestResult {
-        let stage = play_with(seed, true);
-        match stage.engines.breaches.first() {
+        let sim = run_with(seed, true);
+        match sim.engines.breaches.first() {
             None => TestResult::passed(),
             Some(breach) => TestResult::error(format!("seed {seed}: {breach}")),
         }
     }
 }
 
-/// Seeds that once broke a promise, with the cause.
-const CASES: [(u64, &str); 1] = [(
+/// Seeds that once failed, with the cause.
+const REGRESSION_SEEDS: [(u64, &str); 1] = [(
     581,
     "a member left while the order to open was under way: the leader opened \
      after the others had been given to another group",
@@ -129,8 +129,8 @@
 
 #[test]
 fn seeds_that_once_failed_pass() {
-    for (seed, cause) in CASES {
-        let breaches = play(seed).engines.breaches;
+    for (seed, cause) in REGRESSION_SEEDS {
+        let breaches = run_seed(seed).engines.breaches;
         assert!(breaches.is_empty(), "seed {seed} ({cause}): {breaches:?}");
     }
 }
--- a/crates/thistlesill-policy/tests/edge/leaders.rs
+++ b/crates/thistlesill-policy/tests/edge/leaders.rs
@@ -1,11 +1,11 @@
-//! Leaders of groups that take requests.
+//! Builds leaders of groups that take requests.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
 use thistlesill_core::Millis;
 use thistlesill_core::edge::{GroupRef, MemberState, Membership, Target};
 
-/// The leader of an open group of the larger model.
+/// Returns the leader of an open group of the larger model.
 pub(crate) fn leader(id: &str) -> Target {
     Target {
         id: id.into(),
--- a/crates/thistlesill-policy/tests/edge/release.rs
+++ b/crates/thistlesill-policy/tests/edge/release.rs
@@ -1,4 +1,5 @@
-//! No target is in two groups, whatever arrives late and whoever is cut off.
+//! Tests that no target is in two groups, whichever orders are late and whichever engines are
+//! isolated.
 
 use thistlesill_core::Millis;
 use thistlesill_core::edge::{Incarnation, Order, TargetId};
@@ -10,120 +11,118 @@
     Millis::new(s * 1_000)
 }
 
-/// Has a planner that watched for 13 s take over.
-fn hand_over(stage: &mut Simulation) {
+/// Replaces the planner by one that has watched for 13 s.
+fn hand_over(sim: &mut Simulation) {
     let mut successor = FleetPlanner::default();
     for _ in 0..130 {
-        stage.step(|_| Delivery::Answered);
-        successor.watch(&stage.engines.listed(), stage.now);
+        sim.step(|_| Delivery::Answered);
+        successor.watch(&sim.engines.listed(), sim.now);
     }
-    stage.planner = successor;
-    stage.term = 2;
+    sim.planner = successor;
+    sim.term = 2;
 }
 
-/// A planner cut a group with a slow member, gave its members joins of another one that were
-/// not answered, and was killed. Its successor saw the old group whole and ready, and opened
-/// it; then the joins took effect at its leader and members, while it served.
+/// Guards against a successor that opens a group whose members have unanswered joins to another
+/// group. The planner had cut the group for a slow member, sent the joins and was killed; the joins
+/// were carried out while the group served.
 #[test]
 fn a_group_whose_members_may_join_another_one_late_is_not_opened_by_a_successor() {
-    let mut stage = Simulation::formed(6);
-    let (leader, members) = stage.group_of(4);
-    stage.slow_targets.insert(members[2].clone());
-    stage.slow_leaders.insert(leader.clone());
-    let joins = |stage: &Simulation| stage.orders.iter().any(|(_, _, o)| o.name() == "join");
+    let mut sim = Simulation::formed(6);
+    let (leader, members) = sim.group_of(4);
+    sim.slow_targets.insert(members[2].clone());
+    sim.slow_leaders.insert(leader.clone());
+    let joins = |sim: &Simulation| sim.orders.iter().any(|(_, _, o)| o.name() == "join");
     for _ in 0..40 {
-        stage.now = stage.now + STEP;
-        stage.engines.advance(stage.now);
-        stage.step_planner(|order| match order {
+        sim.now = sim.now + STEP;
+        sim.engines.advance(sim.now);
+        sim.step_planner(|order| match order {
             Order::Join { .. } => Delivery::Late(secs(4)),
             _ => Delivery::Answered,
         });
-        if joins(&stage) {
+        if joins(&sim) {
             break;
         }
     }
-    assert!(joins(&stage), "{:?}", stage.orders);
-    assert!(stage.first_order("cut", &leader).is_some());
-    stage.planner = FleetPlanner::default();
-    stage.term = 2;
-    stage.slow_targets.clear();
-    stage.slow_leaders.clear();
-    stage.run(secs(10));
-    stage.assert_no_breaches();
-    assert_eq!(stage.sizes(), (6, 6));
+    assert!(joins(&sim), "{:?}", sim.orders);
+    assert!(sim.first_order("cut", &leader).is_some());
+    sim.planner = FleetPlanner::default();
+    sim.term = 2;
+    sim.slow_targets.clear();
+    sim.slow_leaders.clear();
+    sim.run(secs(10));
+    sim.assert_no_breaches();
+    assert_eq!(sim.sizes(), (6, 6));
 }
 
-/// A leader was cut off from the store and the planner, and served on. Its entry lapsed; a
-/// planner that had just started saw its members without a leader, took them for idle
-/// 3.1 s later, and had them join another group: two targets were in two groups. The lines
-/// that settled it, seconds apart: `target_gone` of the leader at 24.1, `order=stage` to a
-/// member at 27.2, `order=join reply=Taken` at 29.2, the leader `serves=true` at 29.3.
+/// Guards against reusing the members of an isolated leader that still serves. Its entry expired,
+/// and a planner that had just started took the members without a leader for idle 3.1 s later and
+/// had them join another group, so that two targets were in two groups.
 #[test]
 fn members_of_a_leader_that_is_cut_off_and_serves_are_in_no_other_group() {
     for watched in [true, false] {
-        let mut stage = Simulation::formed(6);
-        let (leader, _) = stage.group_of(4);
+        let mut sim = Simulation::formed(6);
+        let (leader, _) = sim.group_of(4);
         if !watched {
-            stage.planner = FleetPlanner::default();
-            stage.term = 2;
+            sim.planner = FleetPlanner::default();
+            sim.term = 2;
         }
-        stage.isolate(&leader);
-        stage.run(secs(14));
-        stage.heal(&leader);
-        stage.run(secs(8));
-        stage.assert_no_breaches();
-        assert_eq!(stage.sizes(), (6, 6));
+        sim.isolate(&leader);
+        sim.run(secs(14));
+        sim.heal(&leader);
+        sim.run(secs(8));
+        sim.assert_no_breaches();
+        assert_eq!(sim.sizes(), (6, 6));
     }
 }
 
-/// A member was given a join of another group that got no answer, then joined the group that
-/// serves, and started again. The new life knew no epoch and took the late join, while its
-/// leader, which no order reached, served.
+/// Guards against a late join that reaches a restarted target. The member had joined the serving
+/// group after the join, then restarted and lost its epochs, so the new incarnation accepted the
+/// late join while its leader, which no order reached, served.
 #[test]
 fn a_join_that_was_given_to_an_earlier_life_is_refused_by_a_later_one() {
-    let mut stage = Simulation::formed(6);
-    let (leader, members) = stage.group_of(4);
-    stage.slow_targets.insert(members[2].clone());
-    stage.slow_leaders.insert(leader.clone());
+    let mut sim = Simulation::formed(6);
+    let (leader, members) = sim.group_of(4);
+    sim.slow_targets.insert(members[2].clone());
+    sim.slow_leaders.insert(leader.clone());
     let member = members[1].clone();
-    while stage.first_order("join", &member).is_none() {
-        stage.step(|order| match order {
+    while sim.first_order("join", &member).is_none() {
+        sim.step(|order| match order {
             Order::Join { .. } => Delivery::Late(secs(9)),
             _ => Delivery::Answered,
         });
     }
-    let given = stage.now;
-    stage.planner = FleetPlanner::default();
-    stage.term = 2;
-    stage.slow_targets.clear();
-    stage.slow_leaders.clear();
-    stage.run(secs(4));
-    let serving = stage.engines.serving();
+    let given = sim.now;
+    sim.planner = FleetPlanner::default();
+    sim.term = 2;
+    sim.slow_targets.clear();
+    sim.slow_leaders.clear();
+    sim.run(secs(4));
+    let serving = sim.engines.serving();
     let serves = serving.iter().any(|(_, all)| all.contains(&member));
-    assert!(serves, "{:?}", stage.orders);
-    let born = Incarnation::new(stage.wall());
-    stage.engines.restart(&member, born).expect("it is known");
-    while stage.now < given + secs(11) {
-        stage.step(|order| match order {
+    assert!(serves, "{:?}", sim.orders);
+    let born = Incarnation::new(sim.wall());
+    sim.engines.restart(&member, born).expect("it is known");
+    while sim.now < given + secs(11) {
+        sim.step(|order| match order {
             Order::Cut(_) => Delivery::Lost,
             _ => Delivery::Answered,
         });
     }
-    stage.assert_no_breaches();
-    stage.run(secs(20));
-    stage.assert_no_breaches();
-    assert_eq!(stage.sizes(), (6, 6));
+    sim.assert_no_breaches();
+    sim.run(secs(20));
+    sim.assert_no_breaches();
+    assert_eq!(sim.sizes(), (6, 6));
 }
 
-/// The same, of a target whose first order got no answer: a life that has taken none either
-/// is as good as the one that the order was meant for.
+/// The same for a target whose first order got no answer: an incarnation that has taken no order
+/// either accepts the order of the earlier one.
 #[test]
 fn a_first_order_without_an_answer_keeps_its_target_out_of_other_groups() {
-    let mut stage = Simulation::new(2);
-    stage.engines.times.load = Millis::new(500);
+    let mut sim = Simulation::new(2);
+    sim.engines.times.load = Millis::new(500);
     let mut first = None;
     for _ in 0..20 {
-        stage.step(|order| match order {
+        sim.step(|order| match order {
             Order::Join { to, members, .. } if members.len() == 2 && first.is_none() => {
                 first = Some((to.clone(), members.clone()));
                 Delivery::Late(secs(9))
@@ -137,52 +136,52 @@
     let (group, members) = first.expect("a small group is formed");
     // The group is given up, and so is another one of the domain: two targets are left.
     for lost in [&members[1], &TargetId::from("i-007")] {
-        stage.engines.kill(lost);
-        stage.engines.unlist(lost);
+        sim.engines.kill(lost);
+        sim.engines.unlist(lost);
     }
-    let others = |stage: &Simulation| {
-        let joins = stage.orders.iter().filter(|(_, id, _)| *id == members[0]);
+    let other_joins = |sim: &Simulation| {
+        let joins = sim.orders.iter().filter(|(_, id, _)| *id == members[0]);
         let other = joins.filter(|(_, _, o)| matches!(o, Order::Join { to, .. } if *to != group));
         other.count()
     };
-    stage.run(secs(11));
-    assert_eq!(others(&stage), 0, "{:?}", stage.orders);
-    stage.run(secs(10));
-    assert!(others(&stage) > 0, "{:?}", stage.orders);
-    stage.assert_no_breaches();
+    sim.run(secs(11));
+    assert_eq!(other_joins(&sim), 0, "{:?}", sim.orders);
+    sim.run(secs(10));
+    assert!(other_joins(&sim) > 0, "{:?}", sim.orders);
+    sim.assert_no_breaches();
 }
 
-/// After an outage of the store most targets of a data centre started again under a planner
-/// that had just taken over; they idled for 12 s, though their earlier lives had been members
-/// of groups for long, so that no first order of theirs could still arrive.
+/// Guards against targets that idle for 12 s when they restart under a new planner, as after an
+/// outage of the store. Their earlier incarnations had been members of groups for so long that no
+/// first order to them could still arrive.
 #[test]
 fn targets_that_start_again_under_a_new_planner_are_used_at_once() {
-    let mut stage = Simulation::formed(6);
-    hand_over(&mut stage);
-    stage.run(secs(2));
-    let (leader, members) = stage.group_of(4);
+    let mut sim = Simulation::formed(6);
+    hand_over(&mut sim);
+    sim.run(secs(2));
+    let (leader, members) = sim.group_of(4);
     for id in [&leader, &members[1], &members[2], &members[3]] {
-        let born = Incarnation::new(stage.wall());
-        stage.engines.restart(id, born).expect("it is known");
+        let born = Incarnation::new(sim.wall());
+        sim.engines.restart(id, born).expect("it is known");
     }
-    stage.run(secs(4));
-    stage.assert_no_breaches();
-    assert_eq!(stage.sizes(), (6, 6));
+    sim.run(secs(4));
+    sim.assert_no_breaches();
+    assert_eq!(sim.sizes(), (6, 6));
 }
 
-/// The same, of instances that nobody has seen before: they have no earlier life.
+/// The same for instances that were never listed before: they have no earlier incarnation.
 #[test]
 fn instances_that_join_the_list_under_a_new_planner_are_used_at_once() {
-    let mut stage = Simulation::formed(2);
-    stage.engines.times.load = Millis::new(500);
-    hand_over(&mut stage);
-    stage.demand.insert("large".into(), 6.0);
-    stage.run(secs(2));
-    let added: Vec<TargetId> = (16..24).map(|number| stage.engines.add(number)).collect();
-    stage.run(secs(4));
+    let mut sim = Simulation::formed(2);
+    sim.engines.times.load = Millis::new(500);
+    hand_over(&mut sim);
+    sim.demand.insert("large".into(), 6.0);
+    sim.run(secs(2));
+    let added: Vec<TargetId> = (16..24).map(|number| sim.engines.add(number)).collect();
+    sim.run(secs(4));
     let joined = added
         .iter()
-        .filter(|id| stage.first_order("join", id).is_some());
-    assert!(joined.count() >= 4, "{:?}", stage.orders);
-    stage.assert_no_breaches();
+        .filter(|id| sim.first_order("join", id).is_some());
+    assert!(joined.count() >= 4, "{:?}", sim.orders);
+    sim.assert_no_breaches();
 }
--- a/crates/thistlesill-policy/tests/edge/stage.rs
+++ b/crates/thistlesill-policy/tests/edge/stage.rs
@@ -1,4 +1,4 @@
-//! A planner before fake engines, in virtual time.
+//! Simulates a planner with fake engines in virtual time.
 
 use std::collections::{BTreeSet, HashMap, HashSet, VecDeque};
 
@@ -10,8 +10,8 @@
 };
 
 /// The time of day at which virtual time begins, in Unix milliseconds.
-const WALL: u64 = 1_790_000_000_000;
-/// Between two looks of the planner.
+const UNIX_START_MS: u64 = 1_790_000_000_000;
+/// Time between two steps of the planner.
 pub(crate) const STEP: Millis = Millis::new(100);
 
 /// An order that is carried out later.
@@ -21,7 +21,7 @@
     order: Order,
 }
 
-/// The planner, the engines and the time.
+/// The planner, the engines and the virtual time.
 pub(crate) struct Simulation {
     pub(crate) engines: Engines,
     pub(crate) planner: FleetPlanner,
@@ -30,11 +30,12 @@
     pub(crate) before_traffic: bool,
     /// Leaders at which daemons have requests that make progress.
     pub(crate) working: HashSet<TargetId>,
-    /// Requests at leaders.
+    /// Running requests at each leader.
     pub(crate) requests: HashMap<TargetId, u32>,
-    /// The work that each model is asked for.
+    /// Demand for each model, in groups.
     pub(crate) demand: Demand,
-    /// Parts of leaders' usual work that their limits leave.
+    /// For each leader with a rate limit, the ratio of its group's usual work that the limit
+    /// leaves.
     pub(crate) capacity_ratios: HashMap<TargetId, f64>,
     /// Data centres that are evacuated.
     pub(crate) evacuated: BTreeSet<HallId>,
@@ -42,12 +43,12 @@
     pub(crate) slow_targets: HashSet<TargetId>,
     /// Leaders whose streams are slow.
     pub(crate) slow_leaders: HashSet<TargetId>,
-    /// All orders that were given, with their times.
+    /// All orders that were sent, with their times.
     pub(crate) orders: Vec<(Millis, TargetId, Order)>,
     pub(crate) late_orders: VecDeque<LateOrder>,
     /// Engines that no order and no probe reaches.
     pub(crate) isolated: HashSet<TargetId>,
-    /// What happened to engines and to the planner, in the order of time.
+    /// Events of the engines and the planner, in the order of time.
     events: Vec<(Millis, String)>,
     engine: Engine,
 }
@@ -75,17 +76,17 @@
         }
     }
 
-    /// Runs until the first groups serve, and begins the requests.
+    /// Runs until the first groups serve, then lets requests begin.
     pub(crate) fn formed(domains: usize) -> Self {
-        let mut stage = Self::new(domains);
-        // Three rounds of loads, which the fakes do not shorten.
-        stage.run(Millis::new(120_000));
-        stage.before_traffic = false;
-        stage.orders.clear();
-        stage
+        let mut sim = Self::new(domains);
+        // Three rounds of loads, which the fake engines do not shorten.
+        sim.run(Millis::new(120_000));
+        sim.before_traffic = false;
+        sim.orders.clear();
+        sim
     }
 
-    /// Lets time pass; the planner looks every step.
+    /// Advances the time; the planner runs every [`STEP`].
     pub(crate) fn run(&mut self, time: Millis) {
         let end = self.now + time;
         while self.now < end {
@@ -93,16 +94,16 @@
         }
     }
 
-    /// Lets one step of time pass; `fate` says what becomes of each order.
-    pub(crate) fn step(&mut self, fate: impl FnMut(&Order) -> Delivery) {
+    /// Advances the time by one step; `delivery` decides what happens to each order.
+    pub(crate) fn step(&mut self, delivery: impl FnMut(&Order) -> Delivery) {
         self.now = self.now + STEP;
         self.engines.advance(self.now);
         self.deliver_late();
-        self.step_planner(fate);
+        self.step_planner(delivery);
     }
 
-    /// One look of the planner; `fate` says what becomes of each order.
-    pub(crate) fn step_planner(&mut self, mut fate: impl FnMut(&Order) -> Delivery) {
+    /// Runs one step of the planner; `delivery` decides what happens to each order.
+    pub(crate) fn step_planner(&mut self, mut delivery: impl FnMut(&Order) -> Delivery) {
         let targets = self.engines.listed();
         let stalled = self.engines.stalled();
         let view = FleetView {
@@ -123,13 +124,13 @@
             match action {
                 FleetAction::SendOrder { target, order, .. } => {
                     self.orders.push((self.now, target.clone(), order.clone()));
-                    let fate = if self.isolated.contains(&target) {
+                    let delivery = if self.isolated.contains(&target) {
                         Delivery::Lost
                     } else {
-                        fate(&order)
+                        delivery(&order)
                     };
-                    self.log(format!("{target} {order:?} {fate:?}"));
-                    let reply = match fate {
+                    self.log(format!("{target} {order:?} {delivery:?}"));
+                    let reply = match delivery {
                         Delivery::Answered => self.engines.order(&target, &order, self.now),
                         Delivery::Lost => OrderReply::Unknown,
                         Delivery::Refused => OrderReply::Refused,
@@ -151,12 +152,12 @@
                 }
                 FleetAction::Probe { target, .. } => {
                     let reached = !self.isolated.contains(&target);
-                    let found = match reached && self.engines.is_alive(&target) {
+                    let outcome = match reached && self.engines.is_alive(&target) {
                         true if self.slow_targets.contains(&target) => ProbeOutcome::Slow,
                         true => ProbeOutcome::Healthy,
                         false => ProbeOutcome::Unresponsive,
                     };
-                    self.planner.record_probe(&target, found, self.now);
+                    self.planner.record_probe(&target, outcome, self.now);
                     if reached && self.engines.life(&target).as_ref() == Some(&target) {
                         let taken = self.engines.orders_taken(&target);
                         self.planner.record_orders_taken(&target, taken, self.now);
@@ -166,24 +167,24 @@
         }
     }
 
-    /// The time of day, in Unix milliseconds.
+    /// Returns the time of day, in Unix milliseconds.
     pub(crate) fn wall(&self) -> u64 {
-        WALL + self.now.get()
+        UNIX_START_MS + self.now.get()
     }
 
-    /// Notes something that happened now.
+    /// Logs an event with the present time.
     pub(crate) fn log(&mut self, event: String) {
         self.events.push((self.now, event));
     }
 
-    /// What happened in some time until now that names one of these.
+    /// Returns the events of the last `time` that contain one of the names.
     pub(crate) fn events_of(&self, names: &[&str], time: Millis) -> Vec<String> {
         let recent = self.events.iter().filter(|(at, _)| self.now - *at <= time);
         let named = recent.filter(|(_, event)| names.iter().any(|name| event.contains(name)));
         named.map(|(at, event)| format!("{at} {event}")).collect()
     }
 
-    /// Has an order carried out later.
+    /// Has an order carried out after a delay.
     fn delay(&mut self, target: &TargetId, order: &Order, after: Millis) {
         self.late_orders.push_back(LateOrder {
             at: self.now + after,
@@ -192,21 +193,21 @@
         });
     }
 
-    /// Cuts an engine off: it leaves the list, and nothing reaches it; it works on.
+    /// Isolates an engine: it leaves the list and nothing reaches it, but it continues to work.
     pub(crate) fn isolate(&mut self, id: &TargetId) {
         self.engines.unlist(id);
         self.isolated.insert(id.clone());
-        self.log(format!("{id} is cut off"));
+        self.log(format!("{id} is isolated"));
     }
 
-    /// Ends that.
+    /// Reconnects an isolated engine.
     pub(crate) fn heal(&mut self, id: &TargetId) {
         self.engines.relist(id);
         self.isolated.remove(id);
         self.log(format!("{id} is reached again"));
     }
 
-    /// How the planner says that the fleet stands.
+    /// Returns the planner's summary of the fleet.
     pub(crate) fn census(&self) -> Census {
         let targets = self.engines.listed();
         self.planner.census(&FleetView {
@@ -237,22 +238,22 @@
         }
     }
 
-    /// When an order of this name was first given to a target.
+    /// Returns when an order of this name was first sent to a target.
     pub(crate) fn first_order(&self, name: &str, target: &TargetId) -> Option<Millis> {
-        let found = self
+        let outcome = self
             .orders
             .iter()
             .find(|(_, t, o)| o.name() == name && t == target);
-        found.map(|(at, _, _)| *at)
+        outcome.map(|(at, _, _)| *at)
     }
 
-    /// Asserts that the engines saw no breach of what must always hold.
+    /// Asserts that the engines recorded no breach of an invariant.
     pub(crate) fn assert_no_breaches(&self) {
         let breaches = &self.engines.breaches;
         assert!(breaches.is_empty(), "{breaches:?}");
     }
 
-    /// Listed targets in no group that serves.
+    /// Returns the listed targets that are in no serving group.
     pub(crate) fn spares(&self) -> Vec<Target> {
         let serving = self.engines.serving();
         let serves = |t: &Target| serving.iter().any(|(_, m)| m.contains(&t.id));
@@ -260,14 +261,14 @@
         targets.filter(|t| !serves(t)).collect()
     }
 
-    /// A group of some members that serves: its leader and all of them.
+    /// Returns the leader and all members of a serving group of this size.
     pub(crate) fn group_of(&self, size: usize) -> (TargetId, Vec<TargetId>) {
         let mut serving = self.engines.serving().into_iter();
         let group = serving.find(|(_, members)| members.len() == size);
         group.expect("a group of that size serves")
     }
 
-    /// The groups that serve, by size.
+    /// Returns the numbers of serving groups with four members and of other sizes.
     pub(crate) fn sizes(&self) -> (usize, usize) {
         let serving = self.engines.serving();
         let large = serving.iter().filter(|(_, m)| m.len() == 4).count();
@@ -275,7 +276,7 @@
     }
 }
 
-/// What becomes of an order.
+/// What happens to an order.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum Delivery {
     /// It is carried out and answered.
@@ -286,8 +287,8 @@
     Refused,
     /// It is carried out and the answer is lost.
     Unanswered,
-    /// It gets no answer, is carried out, and once more later.
+    /// It gets no answer, is carried out, and is carried out once more after a delay.
     Twice(Millis),
-    /// It gets no answer and is carried out later.
+    /// It gets no answer and is carried out after a delay.
     Late(Millis),
 }
