--- a/crates/thistlesill-policy/src/edge/fleet/census.rs
+++ b/crates/thistlesill-policy/src/edge/fleet/census.rs
@@ -1,4 +1,4 @@
-//! How the fleet stands, for the on-call engineer.
+//! A summary of a fleet's groups and idle targets, for the on-call engineer.
 
 use std::collections::BTreeMap;
 use std::fmt::{self, Display, Formatter};
@@ -6,53 +6,53 @@
 use thistlesill_core::edge::{MemberState, ModelPlan, Target};
 use thistlesill_core::{DomainId, Model};
 
-use super::demand::fair_groups;
+use super::demand::desired_groups;
 use super::{FleetPlanner, FleetView};
 
-/// The groups of one model.
+/// Summary of the groups of one model.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ModelCensus {
-    /// The model.
+    /// The model that the groups run.
     pub model: Model,
     /// Groups that take requests.
     pub open: usize,
-    /// Groups that the model should have.
-    pub fair: f64,
-    /// The work that it is asked for; 1 keeps one group fully busy.
-    pub work: f64,
+    /// Groups that the model should have, with fractions.
+    pub desired: f64,
+    /// Demand for the model, in groups: 1 keeps one group fully busy.
+    pub demand: f64,
 }
 
-/// The targets of one fabric domain.
+/// Summary of the targets of one fabric domain.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct DomainCensus {
-    /// Targets that are listed and do not leave.
+    /// Listed targets that are not shutting down.
     pub listed: usize,
-    /// Those in no group that takes requests.
+    /// Listed targets that are in no group that takes requests.
     pub idle: usize,
-    /// Idle ones that take over weights, or whose group ends what it has.
-    pub moving: usize,
-    /// Idle ones by the weights on their hosts.
-    pub ready: BTreeMap<Option<Model>, usize>,
+    /// Idle targets that are loading weights, or whose group finishes its running requests.
+    pub transitioning: usize,
+    /// Idle targets, by the model whose weights were last staged on their host.
+    pub staged: BTreeMap<Option<Model>, usize>,
 }
 
-/// How a service's fleet stands.
+/// Summary of a service's fleet.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Census {
-    /// By model.
+    /// Groups by model.
     pub models: Vec<ModelCensus>,
-    /// By fabric domain.
+    /// Targets by fabric domain; `None` holds the targets without one.
     pub domains: BTreeMap<Option<DomainId>, DomainCensus>,
 }
 
 impl Census {
-    /// Targets in no group that takes requests.
+    /// Returns the number of targets in no group that takes requests.
     pub fn idle(&self) -> usize {
         self.domains.values().map(|d| d.idle).sum()
     }
 
-    /// Groups that are missing, over all models.
+    /// Returns the number of groups that are missing, summed over all models.
     pub fn missing(&self) -> f64 {
-        let missing = |m: &ModelCensus| (m.fair.floor() - m.open as f64).max(0.0);
+        let missing = |m: &ModelCensus| (m.desired.floor() - m.open as f64).max(0.0);
         self.models.iter().map(missing).sum()
     }
 }
@@ -62,17 +62,17 @@
         let Self {
             model,
             open,
-            fair,
-            work,
+            desired,
+            demand,
         } = self;
-        write!(f, "{model}:{open}/{fair:.1}@{work:.1}")
+        write!(f, "{model}:{open}/{desired:.1}@{demand:.1}")
     }
 }
 
 impl Display for DomainCensus {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
-        write!(f, "{}/{}-{}(", self.idle, self.listed, self.moving)?;
-        for (i, (model, count)) in self.ready.iter().enumerate() {
+        write!(f, "{}/{}-{}(", self.idle, self.listed, self.transitioning)?;
+        for (i, (model, count)) in self.staged.iter().enumerate() {
             let comma = if i > 0 { "," } else { "" };
             let model = model.as_ref().map_or("none", Model::as_str);
             write!(f, "{comma}{model}:{count}")?;
@@ -82,7 +82,7 @@
 }
 
 impl FleetPlanner {
-    /// How the fleet stands now.
+    /// Returns a summary of the fleet's present state.
     pub fn census(&self, view: &FleetView<'_>) -> Census {
         let models = view.engine.models.iter();
         Census {
@@ -96,8 +96,8 @@
         ModelCensus {
             model: plan.model.clone(),
             open: view.targets.values().filter(leads).count(),
-            fair: fair_groups(view, plan, self.usable),
-            work: view.demand.get(&plan.model).copied().unwrap_or(0.0),
+            desired: desired_groups(view, plan, self.usable_targets),
+            demand: view.demand.get(&plan.model).copied().unwrap_or(0.0),
         }
     }
 }
@@ -124,10 +124,10 @@
         }
         domain.idle += 1;
         let state = target.member.as_ref().map(|m| m.state);
-        let moving = matches!(state, Some(MemberState::Joining | MemberState::Closing));
-        domain.moving += usize::from(moving);
+        let transitioning = matches!(state, Some(MemberState::Joining | MemberState::Closing));
+        domain.transitioning += usize::from(transitioning);
         let model = target.staged.last().cloned();
-        *domain.ready.entry(model).or_default() += 1;
+        *domain.staged.entry(model).or_default() += 1;
     }
     domains
 }
--- a/crates/thistlesill-policy/tests/edge/stage.rs
+++ b/crates/thistlesill-policy/tests/edge/stage.rs
@@ -1,4 +1,4 @@
-//! A planner before fake engines, in virtual time.
+//! Simulates a planner with fake engines in virtual time.
 
 use std::collections::{BTreeSet, HashMap, HashSet, VecDeque};
 
@@ -6,207 +6,208 @@
 use thistlesill_core::{HallId, Millis};
 use thistlesill_fakes::engines::{Engines, engine};
 use thistlesill_policy::edge::fleet::{
-    Census, Condition, Demand, FleetAction, FleetPlanner, FleetView,
+    Census, Demand, FleetAction, FleetPlanner, FleetView, ProbeOutcome,
 };
 
 /// The time of day at which virtual time begins, in Unix milliseconds.
-const WALL: u64 = 1_790_000_000_000;
-/// Between two looks of the planner.
+const UNIX_START_MS: u64 = 1_790_000_000_000;
+/// Time between two steps of the planner.
 pub(crate) const STEP: Millis = Millis::new(100);
 
 /// An order that is carried out later.
-pub(crate) struct Late {
+pub(crate) struct LateOrder {
     at: Millis,
     target: TargetId,
     order: Order,
 }
 
-/// The planner, the engines and the time.
-pub(crate) struct Stage {
+/// The planner, the engines and the virtual time.
+pub(crate) struct Simulation {
     pub(crate) engines: Engines,
     pub(crate) planner: FleetPlanner,
     pub(crate) term: u64,
     pub(crate) now: Millis,
-    pub(crate) calm: bool,
+    pub(crate) before_traffic: bool,
     /// Leaders at which daemons have requests that make progress.
     pub(crate) working: HashSet<TargetId>,
-    /// Requests at leaders.
+    /// Running requests at each leader.
     pub(crate) requests: HashMap<TargetId, u32>,
-    /// The work that each model is asked for.
+    /// Demand for each model, in groups.
     pub(crate) demand: Demand,
-    /// Parts of leaders' usual work that their limits leave.
-    pub(crate) rooms: HashMap<TargetId, f64>,
+    /// For each leader with a rate limit, the ratio of its group's usual work that the limit
+    /// leaves.
+    pub(crate) capacity_ratios: HashMap<TargetId, f64>,
     /// Data centres that are evacuated.
     pub(crate) evacuated: BTreeSet<HallId>,
     /// Targets that are slow.
-    pub(crate) slow: HashSet<TargetId>,
+    pub(crate) slow_targets: HashSet<TargetId>,
     /// Leaders whose streams are slow.
-    pub(crate) doubted: HashSet<TargetId>,
-    /// All orders that were given, with their times.
+    pub(crate) slow_leaders: HashSet<TargetId>,
+    /// All orders that were sent, with their times.
     pub(crate) orders: Vec<(Millis, TargetId, Order)>,
-    pub(crate) late: VecDeque<Late>,
+    pub(crate) late_orders: VecDeque<LateOrder>,
     /// Engines that no order and no probe reaches.
-    pub(crate) cut: HashSet<TargetId>,
-    /// What happened to engines and to the planner, in the order of time.
+    pub(crate) isolated: HashSet<TargetId>,
+    /// Events of the engines and the planner, in the order of time.
     events: Vec<(Millis, String)>,
     engine: Engine,
 }
 
-impl Stage {
+impl Simulation {
     pub(crate) fn new(domains: usize) -> Self {
         Self {
             engines: Engines::new(domains),
             planner: FleetPlanner::default(),
             term: 1,
             now: Millis::new(1_000_000),
-            calm: true,
+            before_traffic: true,
             working: HashSet::new(),
             requests: HashMap::new(),
             demand: Demand::new(),
-            rooms: HashMap::new(),
+            capacity_ratios: HashMap::new(),
             evacuated: BTreeSet::new(),
-            slow: HashSet::new(),
-            doubted: HashSet::new(),
+            slow_targets: HashSet::new(),
+            slow_leaders: HashSet::new(),
             orders: Vec::new(),
-            late: VecDeque::new(),
-            cut: HashSet::new(),
+            late_orders: VecDeque::new(),
+            isolated: HashSet::new(),
             events: Vec::new(),
             engine: engine(),
         }
     }
 
-    /// Runs until the first groups serve, and begins the requests.
+    /// Runs until the first groups serve, then lets requests begin.
     pub(crate) fn formed(domains: usize) -> Self {
-        let mut stage = Self::new(domains);
-        // Three rounds of loads, which the fakes do not shorten.
-        stage.run(Millis::new(120_000));
-        stage.calm = false;
-        stage.orders.clear();
-        stage
+        let mut sim = Self::new(domains);
+        // Three rounds of loads, which the fake engines do not shorten.
+        sim.run(Millis::new(120_000));
+        sim.before_traffic = false;
+        sim.orders.clear();
+        sim
     }
 
-    /// Lets time pass; the planner looks every step.
+    /// Advances the time; the planner runs every [`STEP`].
     pub(crate) fn run(&mut self, time: Millis) {
         let end = self.now + time;
         while self.now < end {
-            self.step(|_| Fate::Done);
+            self.step(|_| Delivery::Answered);
         }
     }
 
-    /// Lets one step of time pass; `fate` says what becomes of each order.
-    pub(crate) fn step(&mut self, fate: impl FnMut(&Order) -> Fate) {
+    /// Advances the time by one step; `delivery` decides what happens to each order.
+    pub(crate) fn step(&mut self, delivery: impl FnMut(&Order) -> Delivery) {
         self.now = self.now + STEP;
         self.engines.advance(self.now);
-        self.carry_out_late();
-        self.look(fate);
+        self.deliver_late();
+        self.step_planner(delivery);
     }
 
-    /// One look of the planner; `fate` says what becomes of each order.
-    pub(crate) fn look(&mut self, mut fate: impl FnMut(&Order) -> Fate) {
+    /// Runs one step of the planner; `delivery` decides what happens to each order.
+    pub(crate) fn step_planner(&mut self, mut delivery: impl FnMut(&Order) -> Delivery) {
         let targets = self.engines.listed();
         let stalled = self.engines.stalled();
         let view = FleetView {
             targets: &targets,
             engine: &self.engine,
             stalled: &stalled,
-            slow: &self.doubted,
+            slow: &self.slow_leaders,
             working: &self.working,
             requests: &self.requests,
             demand: &self.demand,
-            rooms: &self.rooms,
+            capacity_ratios: &self.capacity_ratios,
             evacuated: &self.evacuated,
             term: self.term,
             wall: self.wall(),
-            calm: self.calm,
+            before_traffic: self.before_traffic,
         };
         for action in self.planner.step(&view, self.now) {
             match action {
-                FleetAction::Give { target, order, .. } => {
+                FleetAction::SendOrder { target, order, .. } => {
                     self.orders.push((self.now, target.clone(), order.clone()));
-                    let fate = if self.cut.contains(&target) {
-                        Fate::Lost
+                    let delivery = if self.isolated.contains(&target) {
+                        Delivery::Lost
                     } else {
-                        fate(&order)
+                        delivery(&order)
                     };
-                    self.note(format!("{target} {order:?} {fate:?}"));
-                    let reply = match fate {
-                        Fate::Done => self.engines.order(&target, &order, self.now),
-                        Fate::Lost => OrderReply::Unknown,
-                        Fate::Refused => OrderReply::Refused,
-                        Fate::Late(after) => {
-                            self.hold(&target, &order, after);
+                    self.log(format!("{target} {order:?} {delivery:?}"));
+                    let reply = match delivery {
+                        Delivery::Answered => self.engines.order(&target, &order, self.now),
+                        Delivery::Lost => OrderReply::Unknown,
+                        Delivery::Refused => OrderReply::Refused,
+                        Delivery::Late(after) => {
+                            self.delay(&target, &order, after);
                             OrderReply::Unknown
                         }
-                        Fate::Twice(after) => {
-                            self.hold(&target, &order, after);
+                        Delivery::Twice(after) => {
+                            self.delay(&target, &order, after);
                             self.engines.order(&target, &order, self.now);
                             OrderReply::Unknown
                         }
-                        Fate::Unanswered => {
+                        Delivery::Unanswered => {
                             self.engines.order(&target, &order, self.now);
                             OrderReply::Unknown
                         }
                     };
-                    self.planner.answered(&target, &order, reply, self.now);
+                    self.planner.record_reply(&target, &order, reply, self.now);
                 }
                 FleetAction::Probe { target, .. } => {
-                    let reached = !self.cut.contains(&target);
-                    let found = match reached && self.engines.is_alive(&target) {
-                        true if self.slow.contains(&target) => Condition::Slow,
-                        true => Condition::Sound,
-                        false => Condition::Silent,
+                    let reached = !self.isolated.contains(&target);
+                    let outcome = match reached && self.engines.is_alive(&target) {
+                        true if self.slow_targets.contains(&target) => ProbeOutcome::Slow,
+                        true => ProbeOutcome::Healthy,
+                        false => ProbeOutcome::Unresponsive,
                     };
-                    self.planner.probed(&target, found, self.now);
+                    self.planner.record_probe(&target, outcome, self.now);
                     if reached && self.engines.life(&target).as_ref() == Some(&target) {
                         let taken = self.engines.orders_taken(&target);
-                        self.planner.counted(&target, taken, self.now);
+                        self.planner.record_orders_taken(&target, taken, self.now);
                     }
                 }
             }
         }
     }
 
-    /// The time of day, in Unix milliseconds.
+    /// Returns the time of day, in Unix milliseconds.
     pub(crate) fn wall(&self) -> u64 {
-        WALL + self.now.get()
+        UNIX_START_MS + self.now.get()
     }
 
-    /// Notes something that happened now.
-    pub(crate) fn note(&mut self, event: String) {
+    /// Logs an event with the present time.
+    pub(crate) fn log(&mut self, event: String) {
         self.events.push((self.now, event));
     }
 
-    /// What happened in some time until now that names one of these.
+    /// Returns the events of the last `time` that contain one of the names.
     pub(crate) fn events_of(&self, names: &[&str], time: Millis) -> Vec<String> {
         let recent = self.events.iter().filter(|(at, _)| self.now - *at <= time);
         let named = recent.filter(|(_, event)| names.iter().any(|name| event.contains(name)));
         named.map(|(at, event)| format!("{at} {event}")).collect()
     }
 
-    /// Has an order carried out later.
-    fn hold(&mut self, target: &TargetId, order: &Order, after: Millis) {
-        self.late.push_back(Late {
+    /// Has an order carried out after a delay.
+    fn delay(&mut self, target: &TargetId, order: &Order, after: Millis) {
+        self.late_orders.push_back(LateOrder {
             at: self.now + after,
             target: target.clone(),
             order: order.clone(),
         });
     }
 
-    /// Cuts an engine off: it leaves the list, and nothing reaches it; it works on.
-    pub(crate) fn cut_off(&mut self, id: &TargetId) {
+    /// Isolates an engine: it leaves the list and nothing reaches it, but it continues to work.
+    pub(crate) fn isolate(&mut self, id: &TargetId) {
         self.engines.unlist(id);
-        self.cut.insert(id.clone());
-        self.note(format!("{id} is cut off"));
+        self.isolated.insert(id.clone());
+        self.log(format!("{id} is isolated"));
     }
 
-    /// Ends that.
+    /// Reconnects an isolated engine.
     pub(crate) fn heal(&mut self, id: &TargetId) {
         self.engines.relist(id);
-        self.cut.remove(id);
-        self.note(format!("{id} is reached again"));
+        self.isolated.remove(id);
+        self.log(format!("{id} is reached again"));
     }
 
-    /// How the planner says that the fleet stands.
+    /// Returns the planner's summary of the fleet.
     pub(crate) fn census(&self) -> Census {
         let targets = self.engines.listed();
         self.planner.census(&FleetView {
@@ -217,41 +218,42 @@
             working: &self.working,
             requests: &self.requests,
             demand: &self.demand,
-            rooms: &self.rooms,
+            capacity_ratios: &self.capacity_ratios,
             evacuated: &self.evacuated,
             term: self.term,
             wall: self.wall(),
-            calm: self.calm,
+            before_traffic: self.before_traffic,
         })
     }
 
-    pub(crate) fn carry_out_late(&mut self) {
-        let late = std::mem::take(&mut self.late);
-        let (due, rest): (VecDeque<Late>, _) = late.into_iter().partition(|l| l.at <= self.now);
-        self.late = rest;
+    pub(crate) fn deliver_late(&mut self) {
+        let late = std::mem::take(&mut self.late_orders);
+        let (due, rest): (VecDeque<LateOrder>, _) =
+            late.into_iter().partition(|l| l.at <= self.now);
+        self.late_orders = rest;
         for late in due {
             let reply = self.engines.order(&late.target, &late.order, self.now);
             let (target, order) = (late.target, late.order);
-            self.note(format!("{target} {order:?} late: {reply:?}"));
+            self.log(format!("{target} {order:?} late: {reply:?}"));
         }
     }
 
-    /// When an order of this name was first given to a target.
-    pub(crate) fn given(&self, name: &str, target: &TargetId) -> Option<Millis> {
-        let found = self
+    /// Returns when an order of this name was first sent to a target.
+    pub(crate) fn first_order(&self, name: &str, target: &TargetId) -> Option<Millis> {
+        let outcome = self
             .orders
             .iter()
             .find(|(_, t, o)| o.name() == name && t == target);
-        found.map(|(at, _, _)| *at)
+        outcome.map(|(at, _, _)| *at)
     }
 
-    /// Asserts that the engines saw no breach of what must always hold.
-    pub(crate) fn assert_sound(&self) {
+    /// Asserts that the engines recorded no breach of an invariant.
+    pub(crate) fn assert_no_breaches(&self) {
         let breaches = &self.engines.breaches;
         assert!(breaches.is_empty(), "{breaches:?}");
     }
 
-    /// Listed targets in no group that serves.
+    /// Returns the listed targets that are in no serving group.
     pub(crate) fn spares(&self) -> Vec<Target> {
         let serving = self.engines.serving();
         let serves = |t: &Target| serving.iter().any(|(_, m)| m.contains(&t.id));
@@ -259,14 +261,14 @@
         targets.filter(|t| !serves(t)).collect()
     }
 
-    /// A group of some members that serves: its leader and all of them.
+    /// Returns the leader and all members of a serving group of this size.
     pub(crate) fn group_of(&self, size: usize) -> (TargetId, Vec<TargetId>) {
         let mut serving = self.engines.serving().into_iter();
         let group = serving.find(|(_, members)| members.len() == size);
         group.expect("a group of that size serves")
     }
 
-    /// The groups that serve, by size.
+    /// Returns the numbers of serving groups with four members and of other sizes.
     pub(crate) fn sizes(&self) -> (usize, usize) {
         let serving = self.engines.serving();
         let large = serving.iter().filter(|(_, m)| m.len() == 4).count();
@@ -274,19 +276,19 @@
     }
 }
 
-/// What becomes of an order.
+/// What happens to an order.
 #[derive(Debug, Clone, Copy)]
-pub(crate) enum Fate {
+pub(crate) enum Delivery {
     /// It is carried out and answered.
-    Done,
+    Answered,
     /// It never arrives.
     Lost,
     /// The engine accepts no connection.
     Refused,
     /// It is carried out and the answer is lost.
     Unanswered,
-    /// It gets no answer, is carried out, and once more later.
+    /// It gets no answer, is carried out, and is carried out once more after a delay.
     Twice(Millis),
-    /// It gets no answer and is carried out later.
+    /// It gets no answer and is carried out after a delay.
     Late(Millis),
 }
