--- a/crates/thistlesill-policy/src/edge.rs
+++ b/crates/thistlesill-policy/src/edge.rs
@@ -1,5 +1,5 @@
-//! The decisions of an edge daemon: which requests may pass, where they go,
-//! and which targets form groups.
+//! Decisions of an edge daemon: which requests are admitted, where they are sent, and which targets
+//! form groups.
 
 pub mod admission;
 pub mod asked;
--- a/crates/thistlesill-policy/src/edge/admission.rs
+++ b/crates/thistlesill-policy/src/edge/admission.rs
@@ -1,4 +1,4 @@
-//! Whether a request may pass, and what it is entitled to.
+//! Admission of requests: checks the key, and determines route, service, customer and priority.
 
 use std::sync::Arc;
 
@@ -8,52 +8,52 @@
 
 use super::freshness::Freshness;
 
-/// The key of a request.
+/// The API key that came with a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Key<'a> {
-    /// None was sent.
+    /// No key was sent.
     Missing,
-    /// One was sent.
+    /// The key that was sent.
     Given(&'a str),
-    /// What was sent is no single key.
+    /// Something was sent that is not exactly one key.
     Unusable,
 }
 
-/// A request that asks to pass.
+/// The parts of a request that decide on its admission.
 #[derive(Debug, Clone, Copy)]
 pub struct Asking<'a> {
-    /// The host that was named.
+    /// Host that the caller addressed.
     pub host: &'a str,
-    /// The path.
+    /// Path of the request.
     pub path: &'a str,
-    /// The key.
+    /// API key of the request.
     pub key: Key<'a>,
-    /// How long the caller waits.
+    /// How long the caller waits, if it set a deadline.
     pub deadline: Option<Millis>,
 }
 
-/// A request that may pass.
+/// An admitted request.
 #[derive(Debug, Clone)]
 pub struct Passage {
-    /// The version of the catalog that let it pass.
+    /// Version of the catalog that admitted the request.
     pub version: u64,
-    /// Its route.
+    /// Route that matches host and path.
     pub route: Arc<Route>,
-    /// The service that answers it.
+    /// Service that answers the request, drawn by the weights of the route.
     pub service: Arc<Service>,
-    /// Its customer, unless the route is public.
+    /// Customer that the key belongs to; `None` if the route is public.
     pub customer: Option<CustomerId>,
-    /// Its rank, 0 first.
+    /// Priority of the request; 0 is the highest.
     pub priority: u8,
-    /// Time until it must have its final answer.
+    /// Time until the request must have its final answer.
     pub limit: Millis,
 }
 
-/// Decides whether a request may pass.
+/// Decides whether a request is admitted.
 ///
 /// # Errors
 ///
-/// The kind of error with which it is refused.
+/// Returns the kind of error with which the request is refused.
 pub fn admit(
     catalog: Option<&Catalog>,
     fresh: &Freshness,
@@ -91,15 +91,16 @@
     })
 }
 
-/// Time in which the balancer notices that a stopping daemon takes no new
-/// callers: it asks once a second and believes the second answer.
+/// Time in which the balancer notices that a stopping daemon accepts no new callers: it asks once a
+/// second and acts on the second such answer.
 pub const BALANCER: Millis = Millis::new(2_600);
 
-/// Whether a daemon that was told to stop `gone` ago still takes a request
-/// that may last for `limit`, where it must end within `grace`.
+/// Returns whether a daemon that began to stop `gone` ago still accepts a request that may last for
+/// `limit`, where the daemon must exit within `grace`.
 ///
-/// Until the balancer has noticed, callers cannot know better. Later ones come
-/// only if the balancer has nobody else, and would be broken off.
+/// Until the balancer has noticed, callers cannot avoid the daemon. Later callers arrive only if
+/// the balancer has no other daemon, and a request that does not end within `grace` would be cut
+/// off.
 #[must_use]
 pub fn may_still_take(gone: Millis, limit: Millis, grace: Millis) -> bool {
     gone < BALANCER || gone + limit < grace
--- a/crates/thistlesill-policy/src/edge/attempt.rs
+++ b/crates/thistlesill-policy/src/edge/attempt.rs
@@ -1,24 +1,24 @@
-//! What follows an attempt to have a target answer a request.
+//! Decides what follows an attempt to have a target answer a request.
 
 use thistlesill_core::ErrorKind;
 
-/// What became of one attempt.
+/// Result of one attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// No byte of it was sent.
+    /// No byte of the request was sent.
     NotSent,
-    /// The target promised that it has not run it and never will.
+    /// The target promised that the request was not run and never will be.
     NotRun,
-    /// The target answered with a failure of its own; it ran.
+    /// The request ran, and the target answered with a failure of its own.
     Failed,
-    /// It was sent and there is no usable answer; it may have run.
+    /// The request was sent and there is no usable answer; it may have run.
     MayHaveRun,
-    /// The time for the request is up, after it was sent.
+    /// The request was sent and its deadline has passed.
     Late,
 }
 
 impl Outcome {
-    /// The outcome's name in logs and metrics.
+    /// Returns the outcome's name in logs and metrics.
     pub const fn name(self) -> &'static str {
         match self {
             Self::NotSent => "not_sent",
@@ -30,42 +30,42 @@
     }
 }
 
-/// The attempts that were made for a request.
+/// Counts of the attempts made for one request.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Attempts {
-    /// Attempts of which something was sent.
+    /// Attempts of which at least one byte was sent.
     pub sent: u32,
-    /// Attempts that could not be sent.
+    /// Attempts of which nothing was sent.
     pub unsent: u32,
-    /// Whether one of them may have run.
+    /// Whether any of the attempts may have run.
     pub may_have_run: bool,
 }
 
-/// Attempts that may fail before anything was sent; each costs a connection.
+/// Number of attempts that may fail before anything was sent; each costs a connection.
 const MAX_UNSENT: u32 = 3;
 
-/// What follows.
+/// The step that follows an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Next {
     /// Try another target.
     Again,
-    /// Hand on the target's failure.
+    /// Pass the target's failure on to the caller.
     Deliver,
-    /// Answer with an error.
+    /// Answer the caller with an error.
     Fail(ErrorKind),
 }
 
-/// Decides what follows an attempt.
+/// Records the outcome of an attempt and decides the next step.
 ///
-/// `repeatable` says whether the request may run more than once, `allowed`
-/// how many targets it may be sent to, and `spend` takes a retry out of the
-/// budget.
+/// `repeatable` says whether the request may run more than once, and `allowed` to how many targets
+/// it may be sent. `take_retry` takes a retry out of the retry budget and returns whether there was one
+/// left.
 pub fn after(
     outcome: Outcome,
     attempts: &mut Attempts,
     repeatable: bool,
     allowed: u32,
-    spend: impl FnOnce() -> bool,
+    take_retry: impl FnOnce() -> bool,
 ) -> Next {
     match outcome {
         Outcome::NotSent => attempts.unsent += 1,
@@ -77,8 +77,10 @@
     }
     let again = match outcome {
         Outcome::NotSent => attempts.unsent <= MAX_UNSENT,
-        Outcome::NotRun => attempts.sent < allowed && spend(),
-        Outcome::Failed | Outcome::MayHaveRun => repeatable && attempts.sent < allowed && spend(),
+        Outcome::NotRun => attempts.sent < allowed && take_retry(),
+        Outcome::Failed | Outcome::MayHaveRun => {
+            repeatable && attempts.sent < allowed && take_retry()
+        }
         Outcome::Late => false,
     };
     if again {
--- a/crates/thistlesill-policy/src/edge/beats.rs
+++ b/crates/thistlesill-policy/src/edge/beats.rs
@@ -1,40 +1,42 @@
-//! When a daemon tells its peers how it is.
+//! Schedule of the heartbeats that a daemon sends to its peers.
 //!
-//! Beats to the own data centre are spaced by its size, and those to all by that of the fleet,
-//! so that what each daemon hears does not grow. What the others wait for is not: they take the
-//! daemon that forms groups for lost after a second of silence, and read the store themselves.
+//! The interval of heartbeats within the own data centre depends on the number of daemons there,
+//! and that of heartbeats to all peers on the size of the fleet, so that the rate at which each
+//! daemon receives them does not grow with the fleet. What other daemons wait for does not slow
+//! down: they consider the daemon that forms groups lost after a second of silence, and read the
+//! store themselves.
 
 use thistlesill_core::Millis;
 
-/// The times between two beats.
+/// Intervals between two heartbeats.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BeatGaps {
-    /// To the peers of the own data centre.
+    /// For heartbeats to the peers of the own data centre.
     pub near: Millis,
-    /// To all peers.
+    /// For heartbeats to all peers.
     pub all: Millis,
-    /// To the daemon that forms groups.
+    /// For heartbeats to the daemon that forms groups.
     pub planner: Millis,
-    /// Between two accounts of what callers ask for.
+    /// For reports of the demand.
     pub asked: Millis,
 }
 
-/// What is to be told now.
+/// The message that is due.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DueBeat {
-    /// How this daemon is, to all.
+    /// A heartbeat to all peers.
     All,
-    /// The same, to its data centre.
+    /// A heartbeat to the peers of the own data centre.
     Near,
-    /// The same, to the daemon that forms groups if that is elsewhere.
+    /// A heartbeat to the daemon that forms groups, if that is in another data centre.
     Planner,
-    /// What callers ask for.
+    /// A report of the demand.
     Asked,
-    /// Nothing before this moment.
+    /// None is due before this time.
     Wait(Millis),
 }
 
-/// When each kind of beat was last told.
+/// Times of the last message of each kind.
 #[derive(Debug, Clone)]
 pub struct BeatSchedule {
     near: Millis,
@@ -44,7 +46,7 @@
 }
 
 impl BeatSchedule {
-    /// A schedule that begins with a gap.
+    /// Creates a schedule that begins with one interval of waiting.
     #[must_use]
     pub const fn new(now: Millis) -> Self {
         Self {
@@ -55,8 +57,8 @@
         }
     }
 
-    /// What is to be told now, which counts as told. All peers are told when the list of them
-    /// is there, and not before.
+    /// Returns the message that is due, and counts that message as sent. Heartbeats to all peers
+    /// are due only once the list of peers is available (`listed`).
     pub fn next(&mut self, gaps: &BeatGaps, listed: bool, now: Millis) -> DueBeat {
         let all = self.all.map_or(now, |at| at + gaps.all);
         if listed && now >= all {
--- a/crates/thistlesill-policy/src/edge/book.rs
+++ b/crates/thistlesill-policy/src/edge/book.rs
@@ -1,8 +1,8 @@
-//! The targets as the store lists them, and which of them take requests.
+//! Targets by service, with an index of those that accept requests.
 //!
-//! While the store is away entries can lapse although their targets live, so
-//! an entry that vanishes just after the store came back is kept for the time
-//! in which a living target writes itself in again.
+//! While the store is unreachable, entries can expire although their targets are running. An entry
+//! that disappears shortly after the store came back is therefore kept for the time in which a
+//! running target registers again.
 
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::sync::Arc;
@@ -11,51 +11,51 @@
 use thistlesill_core::edge::{Catalog, Target, TargetId};
 use thistlesill_core::{HallId, InstanceId, Millis, Model, ServiceName};
 
-/// Time in which living targets are listed again after the store returned.
+/// Time in which running targets register again after the store came back.
 pub const RELIST: Millis = Millis::new(2_300);
 
-/// All targets that are known.
+/// All known targets.
 #[derive(Debug, Clone, Default)]
 pub struct TargetBook {
     targets: HashMap<ServiceName, HashMap<TargetId, Target>>,
-    /// What each instance was last listed as.
-    lives: HashMap<InstanceId, Life>,
-    /// Targets whose entries vanished while the store was in doubt, with the
-    /// moment at which they are dropped.
-    lapsed: HashMap<InstanceId, Millis>,
-    /// Since when the store has answered without a break.
-    steady: Option<Millis>,
+    /// Incarnation under which each instance was last listed.
+    incarnations: HashMap<InstanceId, Incarnation>,
+    /// Targets whose entries disappeared while the store may have lost them, with the time at which
+    /// they are removed.
+    expired: HashMap<InstanceId, Millis>,
+    /// Since when the store has answered without interruption.
+    answering_since: Option<Millis>,
     /// Data centres whose targets get no requests.
     evacuated: BTreeSet<HallId>,
-    /// The catalog by which the targets are sorted.
-    sorted_by: Option<u64>,
-    /// Services whose targets serve in groups, by that catalog.
+    /// Version of the catalog that the index was built with.
+    indexed_version: Option<u64>,
+    /// Services whose targets run in groups, by that catalog.
     grouped: HashSet<ServiceName>,
-    /// The targets that take requests, sorted by id.
+    /// Targets that accept requests, by service and model, sorted by id.
     serving: HashMap<ServiceName, HashMap<Option<Model>, Vec<Arc<Target>>>>,
 }
 
-/// What an instance was last listed as.
+/// Service and id under which an instance was last listed.
 #[derive(Debug, Clone)]
-struct Life {
+struct Incarnation {
     service: ServiceName,
     id: TargetId,
 }
 
-/// What a change of an entry means.
+/// A change of an entry in the store's list of targets.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Listing {
-    /// A target is listed, or its entry changed.
+    /// A target was added, or its entry changed.
     Listed(Box<Target>),
-    /// The entry of an instance is gone.
+    /// The entry of an instance was removed.
     Gone(InstanceId),
-    /// The entry of an instance became one that cannot be decoded. It names no target
-    /// to use, and nothing tells that the one it named before is still there.
+    /// The entry of an instance changed to one that cannot be decoded. The entry describes no
+    /// target that could be used, and nothing shows that the previous target still exists.
     Unusable(InstanceId),
 }
 
 impl Listing {
-    /// The instance whose entry changed.
+    /// Returns the instance whose entry changed.
     #[must_use]
     pub fn instance(&self) -> &InstanceId {
         match self {
@@ -66,78 +66,79 @@
 }
 
 impl TargetBook {
-    /// Notes that the store answered.
+    /// Records that the store answered.
     pub fn store_answered(&mut self, now: Millis) {
-        self.steady.get_or_insert(now);
+        self.answering_since.get_or_insert(now);
     }
 
-    /// Notes that the store did not answer.
+    /// Records that the store did not answer.
     pub const fn store_failed(&mut self) {
-        self.steady = None;
+        self.answering_since = None;
     }
 
-    /// Notes since when the store has answered, as another daemon tells.
+    /// Sets the time since which the store has answered, as reported by another daemon.
     pub const fn store_steady(&mut self, since: Millis) {
-        self.steady = Some(since);
+        self.answering_since = Some(since);
     }
 
-    /// How long the store has answered without a break.
+    /// Returns how long the store has answered without interruption; `None` if it does not answer.
     pub fn steady_for(&self, now: Millis) -> Option<Millis> {
-        self.steady.map(|since| now - since)
+        self.answering_since.map(|since| now - since)
     }
 
-    /// Takes in changes of entries.
+    /// Applies changes of entries.
     pub fn apply(&mut self, changes: Vec<Listing>, catalog: Option<&Catalog>, now: Millis) {
         for change in changes {
             match change {
                 Listing::Listed(target) => self.list(*target),
-                Listing::Gone(instance) => self.lapse(instance, now),
+                Listing::Gone(instance) => self.expire_entry(instance, now),
                 Listing::Unusable(instance) => self.drop_instance(&instance),
             }
         }
         self.index_if_changed(catalog);
     }
 
-    /// Takes in all entries at once; what is missing in them is gone.
+    /// Replaces all entries; targets that `all` lacks are treated as removed.
     pub fn replace(&mut self, all: Vec<Listing>, catalog: Option<&Catalog>, now: Millis) {
         let changes = self.difference(all);
         self.apply(changes, catalog, now);
     }
 
-    /// The changes that lead from what is known to all entries as they were read at once;
-    /// what is missing in them is gone.
+    /// Returns the changes that lead from the known entries to `all`, the result of a full read;
+    /// entries that `all` lacks are removed.
     #[must_use]
     pub fn difference(&self, all: Vec<Listing>) -> Vec<Listing> {
         let listed: HashSet<&InstanceId> = all.iter().map(Listing::instance).collect();
-        let known = self.lives.keys();
+        let known = self.incarnations.keys();
         let gone = known.filter(|instance| !listed.contains(instance)).cloned();
         let mut changes: Vec<Listing> = gone.map(Listing::Gone).collect();
-        changes.extend(all.into_iter().filter(|listing| self.is_news(listing)));
+        changes.extend(all.into_iter().filter(|listing| self.is_change(listing)));
         changes
     }
 
-    fn is_news(&self, listing: &Listing) -> bool {
+    fn is_change(&self, listing: &Listing) -> bool {
         let instance = listing.instance();
-        let known = self.lives.get(instance);
+        let known = self.incarnations.get(instance);
         match listing {
             Listing::Listed(target) => {
-                let same = |life: &Life| {
-                    let targets = self.targets.get(&life.service);
-                    targets.and_then(|t| t.get(&life.id)) == Some(&**target)
+                let same = |incarnation: &Incarnation| {
+                    let targets = self.targets.get(&incarnation.service);
+                    targets.and_then(|t| t.get(&incarnation.id)) == Some(&**target)
                 };
-                // A lapsed entry that is there again is news, however alike it is.
-                !known.is_some_and(same) || self.lapsed.contains_key(instance)
+                // An expired entry that reappears is a change, even with the same content.
+                !known.is_some_and(same) || self.expired.contains_key(instance)
             }
             Listing::Gone(_) | Listing::Unusable(_) => known.is_some(),
         }
     }
 
-    /// Drops lapsed entries whose time is up; returns whether any was.
+    /// Removes targets whose entries expired and were not listed again in time. Returns whether any
+    /// was removed.
     pub fn expire(&mut self, catalog: Option<&Catalog>, now: Millis) -> bool {
         let due: Vec<InstanceId> = self
-            .lapsed
+            .expired
             .iter()
-            .filter(|(_, until)| **until <= now && self.steady.is_some())
+            .filter(|(_, until)| **until <= now && self.answering_since.is_some())
             .map(|(instance, _)| instance.clone())
             .collect();
         for instance in &due {
@@ -147,27 +148,27 @@
         !due.is_empty()
     }
 
-    /// Takes in the data centres whose targets get no requests.
+    /// Sets the data centres whose targets get no requests.
     pub fn evacuate(&mut self, halls: &BTreeSet<HallId>, catalog: Option<&Catalog>) {
         self.evacuated.clone_from(halls);
         self.index(catalog);
     }
 
-    /// Whether the targets of a data centre get no requests.
+    /// Returns whether a data centre is evacuated, so that its targets get no requests.
     pub fn is_evacuated(&self, hall: &HallId) -> bool {
         self.evacuated.contains(hall)
     }
 
-    /// Sorts the targets anew by what they serve.
+    /// Rebuilds the index of the targets that accept requests.
     pub fn index(&mut self, catalog: Option<&Catalog>) {
-        self.sorted_by = catalog.map(|c| c.version);
+        self.indexed_version = catalog.map(|c| c.version);
         let services = catalog.into_iter().flat_map(Catalog::services);
         let grouped = services.filter(|s| s.engine.is_some());
         self.grouped = grouped.map(|s| s.name.clone()).collect();
         self.serving.clear();
         let all = self.targets.values().flat_map(HashMap::values);
         for target in all {
-            if let Serves::Requests(model) = served(target, &self.evacuated, &self.grouped) {
+            if let Accepted::Requests(model) = accepted(target, &self.evacuated, &self.grouped) {
                 let service = self.serving.entry(target.service.clone()).or_default();
                 let targets = service.entry(model).or_default();
                 targets.push(Arc::new(target.clone()));
@@ -178,17 +179,17 @@
         }
     }
 
-    /// Sorts the targets anew if another catalog is in force; changes of single targets keep
-    /// their order.
+    /// Rebuilds the index if the catalog has changed. Changes of single targets keep the index
+    /// sorted by themselves.
     fn index_if_changed(&mut self, catalog: Option<&Catalog>) {
-        if catalog.map(|c| c.version) != self.sorted_by {
+        if catalog.map(|c| c.version) != self.indexed_version {
             self.index(catalog);
         }
     }
 
-    /// Adds a target to those that take requests, if it does.
-    fn serve(&mut self, target: &Target) {
-        if let Serves::Requests(model) = served(target, &self.evacuated, &self.grouped) {
+    /// Adds a target to the index if it accepts requests.
+    fn add_to_index(&mut self, target: &Target) {
+        if let Accepted::Requests(model) = accepted(target, &self.evacuated, &self.grouped) {
             let service = self.serving.entry(target.service.clone()).or_default();
             let targets = service.entry(model).or_default();
             let at = targets.partition_point(|t| t.id < target.id);
@@ -196,9 +197,9 @@
         }
     }
 
-    /// Takes a target out of those that take requests.
-    fn stop_serving(&mut self, target: &Target) {
-        let Serves::Requests(model) = served(target, &self.evacuated, &self.grouped) else {
+    /// Removes a target from the index.
+    fn remove_from_index(&mut self, target: &Target) {
+        let Accepted::Requests(model) = accepted(target, &self.evacuated, &self.grouped) else {
             return;
         };
         let service = self.serving.get_mut(&target.service);
@@ -210,100 +211,106 @@
         }
     }
 
-    /// The targets that take requests for a service, for a model if it runs
-    /// models.
+    /// Returns the targets that accept requests for a service, and for a model if the service runs
+    /// models; sorted by id.
     pub fn serving(&self, service: &ServiceName, model: Option<&Model>) -> &[Arc<Target>] {
         let by_model = self.serving.get(service);
         let found = by_model.and_then(|m| m.get(&model.cloned()));
         found.map_or(&[], Vec::as_slice)
     }
 
-    /// The targets of a service.
+    /// Returns all known targets of a service.
     pub fn of(&self, service: &ServiceName) -> Option<&HashMap<TargetId, Target>> {
         self.targets.get(service)
     }
 
-    /// A target, if this life of it is the one that is known.
+    /// Returns a target if `id` is its current incarnation.
     pub fn target(&self, id: &TargetId) -> Option<&Target> {
-        let life = self.lives.get(id.instance())?;
-        self.targets.get(&life.service)?.get(id)
+        let incarnation = self.incarnations.get(id.instance())?;
+        self.targets.get(&incarnation.service)?.get(id)
     }
 
-    /// Whether this life of a target is the one that is known.
+    /// Returns whether `id` is the current incarnation of its target.
     pub fn knows(&self, id: &TargetId) -> bool {
         self.life(id.instance()) == Some(id)
     }
 
-    /// The targets as the store lists them, without those that are only kept since their
-    /// entries may have lapsed.
+    /// Returns the targets that the store lists, without those that are only kept because their
+    /// entries may have expired.
     pub fn listed(&self) -> impl Iterator<Item = &Target> {
         let all = self.targets.values().flat_map(HashMap::values);
-        all.filter(|t| !self.lapsed.contains_key(t.id.instance()))
+        all.filter(|t| !self.expired.contains_key(t.id.instance()))
     }
 
-    /// How many targets are known.
+    /// Returns the number of known targets.
     pub fn count(&self) -> usize {
-        self.lives.len()
+        self.incarnations.len()
     }
 
-    /// Which life of an instance's target is known.
+    /// Returns the id of the current incarnation of an instance's target.
     pub fn life(&self, instance: &InstanceId) -> Option<&TargetId> {
-        self.lives.get(instance).map(|life| &life.id)
+        self.incarnations
+            .get(instance)
+            .map(|incarnation| &incarnation.id)
     }
 
     fn list(&mut self, target: Target) {
         let instance = target.id.instance().clone();
-        let life = Life {
+        let incarnation = Incarnation {
             service: target.service.clone(),
             id: target.id.clone(),
         };
-        // An earlier life, or the same one under another service.
+        // Removes an earlier incarnation, or the same one under another service.
         self.drop_instance(&instance);
-        self.serve(&target);
+        self.add_to_index(&target);
         let service = self.targets.entry(target.service.clone()).or_default();
         service.insert(target.id.clone(), target);
-        self.lives.insert(instance, life);
+        self.incarnations.insert(instance, incarnation);
     }
 
-    fn lapse(&mut self, instance: InstanceId, now: Millis) {
-        let steady = self.steady.unwrap_or(now);
-        if now - steady >= RELIST {
+    fn expire_entry(&mut self, instance: InstanceId, now: Millis) {
+        let answering_since = self.answering_since.unwrap_or(now);
+        if now - answering_since >= RELIST {
             self.drop_instance(&instance);
-        } else if self.lives.contains_key(&instance) {
-            self.lapsed.insert(instance, steady + RELIST);
+        } else if self.incarnations.contains_key(&instance) {
+            self.expired.insert(instance, answering_since + RELIST);
         }
     }
 
     fn drop_instance(&mut self, instance: &InstanceId) {
-        self.lapsed.remove(instance);
-        let Some(life) = self.lives.remove(instance) else {
+        self.expired.remove(instance);
+        let Some(incarnation) = self.incarnations.remove(instance) else {
             return;
         };
-        let targets = self.targets.get_mut(&life.service);
-        if let Some(target) = targets.and_then(|targets| targets.remove(&life.id)) {
-            self.stop_serving(&target);
+        let targets = self.targets.get_mut(&incarnation.service);
+        if let Some(target) = targets.and_then(|targets| targets.remove(&incarnation.id)) {
+            self.remove_from_index(&target);
         }
     }
 }
 
-/// What a target takes requests for.
-enum Serves {
-    /// Nothing.
+/// What a target accepts requests for.
+enum Accepted {
+    /// The target accepts no requests.
     Nothing,
-    /// Requests; for this model if its service runs models.
+    /// The target accepts requests, for this model if its service runs models.
     Requests(Option<Model>),
 }
 
-/// What a target takes requests for.
-fn served(target: &Target, evacuated: &BTreeSet<HallId>, grouped: &HashSet<ServiceName>) -> Serves {
+/// Returns what a target accepts requests for.
+fn accepted(
+    target: &Target,
+    evacuated: &BTreeSet<HallId>,
+    grouped: &HashSet<ServiceName>,
+) -> Accepted {
     if target.leaving || evacuated.contains(&target.hall) {
-        return Serves::Nothing;
+        return Accepted::Nothing;
     }
     if !grouped.contains(&target.service) {
-        return Serves::Requests(None);
+        return Accepted::Requests(None);
     }
     match &target.member {
-        Some(member) if target.is_open_leader() => Serves::Requests(member.model.clone()),
-        _ => Serves::Nothing,
+        Some(member) if target.is_open_leader() => Accepted::Requests(member.model.clone()),
+        _ => Accepted::Nothing,
     }
 }
--- a/crates/thistlesill-policy/src/edge/evacuation.rs
+++ b/crates/thistlesill-policy/src/edge/evacuation.rs
@@ -1,61 +1,61 @@
-//! Which data centres are evacuated, as a daemon knows it.
+//! Evacuated data centres, as known to one daemon.
 //!
-//! Operators evacuate a data centre before they work on it and take it back afterwards.
-//! Daemons that read the store hear of both there and hand the whole list on beside the proof
-//! of their catalog, so a daemon with a young proof has a list that is as young. A list of an
-//! older version of the store changes nothing, whichever way it came.
+//! Operators evacuate a data centre before they work on it and end the evacuation afterwards.
+//! Daemons that read the store see both there and send the full list along with the proof that
+//! their catalog is fresh, so a daemon with a recent proof has an equally recent list. A list of an
+//! older store version is ignored, whichever way it arrived.
 
 use std::collections::BTreeSet;
 
 use thistlesill_core::HallId;
 use thistlesill_core::edge::Evacuations;
 
-/// A change of the list.
+/// A change of the list of evacuated data centres.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EvacuationChange {
-    /// A data centre is evacuated from now on.
+    /// The evacuation of a data centre begins.
     Begun(HallId),
-    /// A data centre is taken back.
+    /// The evacuation of a data centre ends.
     Ended(HallId),
 }
 
-/// One change of the operators' list, as the store tells it.
+/// A changed entry of the operators' list in the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ListedHall {
-    /// The data centre.
+    /// Data centre of the entry.
     pub hall: HallId,
-    /// Whether it is evacuated.
+    /// Whether the data centre is evacuated.
     pub evacuated: bool,
 }
 
-/// The data centres that are evacuated.
+/// Evacuated data centres, with the store version of the list.
 #[derive(Debug, Clone, Default)]
 pub struct EvacuationTable {
     known: Evacuations,
 }
 
 impl EvacuationTable {
-    /// The list as it is known.
+    /// Returns the current list.
     #[must_use]
     pub const fn known(&self) -> &Evacuations {
         &self.known
     }
 
-    /// Takes in a whole list; returns what it changes.
-    pub fn replace(&mut self, news: Evacuations) -> Vec<EvacuationChange> {
-        if news.version < self.known.version {
+    /// Replaces the list, unless the new one is older. Returns the changes.
+    pub fn replace(&mut self, update: Evacuations) -> Vec<EvacuationChange> {
+        if update.version < self.known.version {
             return Vec::new();
         }
-        let begun = news.halls.difference(&self.known.halls).cloned();
-        let ended = self.known.halls.difference(&news.halls).cloned();
+        let begun = update.halls.difference(&self.known.halls).cloned();
+        let ended = self.known.halls.difference(&update.halls).cloned();
         let begun = begun.map(EvacuationChange::Begun);
         let changes = begun.chain(ended.map(EvacuationChange::Ended)).collect();
-        self.known = news;
+        self.known = update;
         changes
     }
 
-    /// Takes in changes up to a version of the store, in their order; returns what they
-    /// change.
+    /// Applies changed entries up to a store version, in their order. Returns the resulting
+    /// changes.
     pub fn apply(&mut self, listed: &[ListedHall], version: u64) -> Vec<EvacuationChange> {
         let mut halls = self.known.halls.clone();
         for change in listed {
@@ -68,7 +68,7 @@
         self.replace(Evacuations { version, halls })
     }
 
-    /// The list that a whole read of the store shows.
+    /// Builds the list from all entries of a full read of the store.
     #[must_use]
     pub fn whole(listed: &[ListedHall], version: u64) -> Evacuations {
         let halls = listed.iter().filter(|l| l.evacuated);
--- a/crates/thistlesill-policy/src/edge/freshness.rs
+++ b/crates/thistlesill-policy/src/edge/freshness.rs
@@ -1,36 +1,35 @@
-//! Proof that what a daemon knows of the store is the newest.
+//! Proof that a daemon's knowledge of the store is up to date.
 //!
-//! A customer's key may be taken away at any moment, and a daemon that is cut
-//! off from the store does not hear of it. So a request with a key passes
-//! only while the daemon can show that its catalog was the newest a short
-//! time ago, on its monotonic clock. An answer of the store proves this for
-//! the moment at which the question was sent, no later.
+//! A customer's key may be revoked at any time, and a daemon that is cut off from the store does
+//! not learn of it. A request with a key is therefore admitted only while the daemon can prove that
+//! its catalog was the newest a short time ago, on its monotonic clock. An answer of the store
+//! proves this for the time at which the query was sent, and no later.
 
 use thistlesill_core::Millis;
 
-/// Kept between the age at which keys are refused and the bound: the time
-/// from the check until the target has the request, with a busy machine.
+/// Difference between the age at which keys are refused and the bound: the time from the check
+/// until the target has the request, on a busy machine.
 pub const MARGIN: Millis = Millis::new(700);
 
-/// When something that the store holds was last known to be the newest.
+/// The time at which data from the store was last known to be the newest.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Freshness {
-    proved: Option<Millis>,
+    proved_at: Option<Millis>,
 }
 
 impl Freshness {
-    /// Notes that what is known was the newest at the moment `asked`.
+    /// Records that the data was the newest at the time `asked`, when the query was sent.
     pub fn confirm(&mut self, asked: Millis) {
-        self.proved = self.proved.max(Some(asked));
+        self.proved_at = self.proved_at.max(Some(asked));
     }
 
-    /// The age of the last proof.
+    /// Returns the age of the last proof; `None` if there is none.
     pub fn age(&self, now: Millis) -> Option<Millis> {
-        self.proved.map(|at| now - at)
+        self.proved_at.map(|at| now - at)
     }
 
-    /// Whether requests with keys may pass, where a removed key may be used
-    /// for `bound` at most.
+    /// Returns whether requests with keys are admitted, where a revoked key may be used for at most
+    /// `bound`. Without a bound any proof suffices.
     pub fn permits(&self, bound: Option<Millis>, now: Millis) -> bool {
         match (bound, self.age(now)) {
             (_, None) => false,
--- a/crates/thistlesill-policy/src/edge/limit.rs
+++ b/crates/thistlesill-policy/src/edge/limit.rs
@@ -1,12 +1,13 @@
-//! Limits that targets name on the requests they take from all daemons together.
+//! Token buckets for the request rates that targets allow across all daemons.
 //!
-//! Load pattern: a target in need takes fewer requests a second than there are daemons, so
-//! a share of it for each daemon would be none at all. One daemon, the keeper, grants the
-//! target's requests one by one; whoever sends one has a grant for it, whichever way it
-//! came there. Without a keeper nothing is sent, since the others may have one.
+//! Load pattern: an overloaded target accepts fewer requests per second than there are daemons, so
+//! a per-daemon share would be less than one request. A single daemon, the owner of the token
+//! bucket, grants the target's requests one by one, and a daemon sends a request only with a grant,
+//! however it obtained that grant. Without an owner nothing is sent, because the other daemons may
+//! have one.
 //!
-//! A target that warms up takes as many requests a second as its service says, and is
-//! limited in the same way for as long as that lasts.
+//! A target that warms up accepts as many requests per second as its service specifies, and is
+//! limited in the same way until the warm-up ends.
 
 use std::collections::HashMap;
 
@@ -14,43 +15,43 @@
 use thistlesill_core::Millis;
 use thistlesill_core::edge::{RateLimit, TargetId};
 
-/// Part of a limit that is granted. With what may be saved and the time for which a grant
-/// may wait it comes to the limit in any four seconds, and never to more.
-const GRANTED: f64 = 0.95;
-/// Time whose requests may be saved up, in seconds, for callers that come together.
-const SAVED: f64 = 0.1;
-/// How long a grant may be used after it was asked for. One that a frozen daemon or a slow
-/// connection held back would fall into the same window as grants that were given later.
+/// Part of a limit that is granted. Together with the burst and the time for which a grant stays
+/// usable, it adds up to at most the limit in any four seconds.
+const GRANTED_RATIO: f64 = 0.95;
+/// Time whose requests may accumulate, in seconds, for callers that arrive together.
+const BURST_SECONDS: f64 = 0.1;
+/// How long a grant may be used after it was requested. A grant that a frozen daemon or a slow
+/// connection delayed would fall into the same window as grants that were given later.
 const GRANT_VALIDITY: Millis = Millis::new(100);
-/// The lowest rate at which requests are granted, in requests a second: only an answer
-/// tells that a limit was lifted, also one of zero.
-const LEAST: f64 = 0.05;
-/// How long it is remembered that a limit was lifted: longer than an answer takes that
-/// named it before.
-const REMEMBERED: Millis = Millis::new(60_000);
-
-/// What an answer said of its target's limit.
+/// Lowest rate at which requests are granted, in requests per second. Only an answer reveals that a
+/// limit was lifted, also a limit of zero, so some requests must go through.
+const MIN_RATE_PER_SECOND: f64 = 0.05;
+/// How long a lifted limit is remembered: longer than the delay of an answer that still reports the
+/// previous limit.
+const LIFTED_RETENTION: Millis = Millis::new(60_000);
+
+/// A target's limit as reported by one answer.
 ///
-/// The target said it at some moment between the sending of the request and the arrival of
-/// the answer, and answers overtake one another.
+/// The target determined the limit at some moment between the sending of the request and the
+/// arrival of the answer, and answers overtake one another.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitReport {
-    /// The limit; `None` if there is none.
+    /// The limit; `None` if the target has none.
     pub limit: Option<RateLimit>,
     /// When the request was sent.
     pub from: Millis,
-    /// When the answer came.
+    /// When the answer arrived.
     pub until: Millis,
 }
 
 impl LimitReport {
-    /// Whether this was certainly said after `other`.
+    /// Returns whether this report is certainly newer than `other`.
     const fn is_after(&self, other: &Self) -> bool {
         self.from.get() >= other.until.get()
     }
 
-    /// Whether this holds in place of what is known. Of two that may have been said in
-    /// either order the stricter one holds: the next answer corrects it.
+    /// Returns whether this report replaces `known`. If the order of the two is unknown, the
+    /// stricter limit wins: the next answer corrects it.
     fn supersedes(&self, known: &Self) -> bool {
         if self.is_after(known) {
             return true;
@@ -66,16 +67,16 @@
     }
 }
 
-/// What a daemon tells another of a target's limit; times are ages, since clocks differ.
+/// A target's limit as one daemon sends it to another. Times are ages, since clocks differ.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ToldLimit {
-    /// The target.
+    /// The target that the limit applies to.
     pub target: TargetId,
-    /// The limit; `None` if there is none.
+    /// The limit; `None` if the target has none.
     pub limit: Option<RateLimit>,
-    /// How long ago the request was sent.
+    /// Time since the request was sent.
     pub sent: Millis,
-    /// How long ago the answer came.
+    /// Time since the answer arrived.
     pub came: Millis,
 }
 
@@ -89,7 +90,7 @@
         }
     }
 
-    /// The report by the clock of whoever hears it at `now`.
+    /// Converts the ages to the clock of the daemon that received them at `now`.
     #[must_use]
     pub fn report(&self, now: Millis) -> LimitReport {
         LimitReport {
@@ -100,47 +101,47 @@
     }
 }
 
-/// What a report changed.
+/// How a report changed the known limit of a target.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Heard {
-    /// Nothing.
+    /// The limit is the same as before.
     Nothing,
-    /// The limit; it was this one before.
+    /// The limit changed; holds the previous one.
     News(Option<RateLimit>),
-    /// Nothing: what is known was said later, and is another limit.
+    /// The report was ignored: a newer report with a different limit is known.
     Outdated,
 }
 
-/// Whether a request may be sent to a target.
+/// Decision of a token bucket on one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Grant {
-    /// It names no limit.
+    /// The target has no limit.
     Unlimited,
-    /// This one may.
+    /// The request may be sent.
     Granted,
-    /// Not now; the next one may after this time.
+    /// The bucket is empty; holds the time until the next request may be granted.
     Spent(Millis),
-    /// Another daemon decides.
+    /// Another daemon owns the target's bucket.
     NotKept,
 }
 
-/// Until when a request that a target was picked for may be sent there.
+/// How long a request may be sent to the target that was picked for it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Clearance {
-    /// For as long as the target names no limit.
+    /// As long as the target has no limit.
     Unlimited,
-    /// Until this moment.
+    /// Until this time.
     Until(Millis),
 }
 
 impl Clearance {
-    /// The clearance by a grant that was asked for at a moment.
+    /// Returns the clearance of a grant that was requested at `asked`.
     #[must_use]
     pub fn granted(asked: Millis) -> Self {
         Self::Until(asked + GRANT_VALIDITY)
     }
 
-    /// Whether the request may be sent now to a target that names a limit or none.
+    /// Returns whether the request may be sent now; `limited` says whether the target has a limit.
     #[must_use]
     pub fn holds(self, limited: bool, now: Millis) -> bool {
         match self {
@@ -150,103 +151,104 @@
     }
 }
 
-/// Requests that a keeper may still grant.
+/// Requests that the owner of a target may still grant.
 #[derive(Debug, Clone, Copy, PartialEq)]
-struct Savings {
-    /// Part of the limit that this keeper may grant.
+struct TokenBucket {
+    /// Fraction of the limit that this owner may grant.
     part: f64,
-    requests: f64,
-    at: Millis,
+    tokens: f64,
+    updated_at: Millis,
 }
 
-impl Savings {
-    /// Nothing is saved at first: a keeper before this one may have granted it.
-    const fn begin(part: f64, now: Millis) -> Self {
+impl TokenBucket {
+    /// Starts empty: a previous owner may have granted the tokens already.
+    const fn empty(part: f64, now: Millis) -> Self {
         Self {
             part,
-            requests: 0.0,
-            at: now,
+            tokens: 0.0,
+            updated_at: now,
         }
     }
 
-    /// Requests a second that are granted.
+    /// Returns the rate at which tokens accumulate, in requests per second.
     fn rate(&self, limit: RateLimit) -> f64 {
-        limit.get().max(LEAST) * GRANTED * self.part
+        limit.get().max(MIN_RATE_PER_SECOND) * GRANTED_RATIO * self.part
     }
 
-    /// What is saved by now.
-    fn saved(&self, limit: RateLimit, now: Millis) -> f64 {
+    /// Returns the tokens available at `now`.
+    fn available(&self, limit: RateLimit, now: Millis) -> f64 {
         let rate = self.rate(limit);
-        let grown = rate * (now - self.at).get() as f64 / 1_000.0;
-        (self.requests + grown).min((rate * SAVED).max(1.0))
+        let accrued = rate * (now - self.updated_at).get() as f64 / 1_000.0;
+        (self.tokens + accrued).min((rate * BURST_SECONDS).max(1.0))
     }
 
-    /// Time until a request may be granted.
+    /// Returns the time until one token is available.
     fn wait(&self, limit: RateLimit, now: Millis) -> Millis {
-        let lacking = (1.0 - self.saved(limit, now)).max(0.0);
-        Millis::new((lacking / self.rate(limit) * 1_000.0).ceil() as u64)
+        let missing = (1.0 - self.available(limit, now)).max(0.0);
+        Millis::new((missing / self.rate(limit) * 1_000.0).ceil() as u64)
     }
 }
 
-/// The limit of a target that warms up.
+/// Request rate of a target while it warms up.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct WarmupLimit {
     limit: RateLimit,
     until: Millis,
 }
 
-/// What a daemon knows of a target that names or named a limit, or warms up.
+/// State of a target that has or had a limit, or warms up.
 #[derive(Debug, Clone, Default)]
 struct Limited {
-    /// What the target last named.
+    /// The target's last report.
     report: Option<LimitReport>,
     warmup: Option<WarmupLimit>,
-    /// As keeper: what may be granted.
-    savings: Option<Savings>,
-    /// Until when no grant is to be had, as its keeper said.
+    /// The token bucket, if this daemon owns the target.
+    bucket: Option<TokenBucket>,
+    /// Until when the target's owner grants nothing, by its last reply.
     spent: Millis,
 }
 
 impl Limited {
-    /// The limit that the target names.
-    fn named(&self) -> Option<RateLimit> {
+    /// Returns the limit that the target reported.
+    fn reported(&self) -> Option<RateLimit> {
         self.report?.limit
     }
 
-    /// The limit that holds now.
+    /// Returns the limit in force at `now`.
     fn limit(&self, now: Millis) -> Option<RateLimit> {
         let warmup = self.warmup.filter(|w| now < w.until).map(|w| w.limit);
-        match (self.named(), warmup) {
-            (Some(named), Some(warmup)) if warmup < named => Some(warmup),
-            (Some(named), _) => Some(named),
+        match (self.reported(), warmup) {
+            (Some(reported), Some(warmup)) if warmup < reported => Some(warmup),
+            (Some(reported), _) => Some(reported),
             (None, warmup) => warmup,
         }
     }
 
-    /// Whether nothing limits the target, and nothing has for long.
+    /// Returns whether the target is unlimited and a lifted limit need not be remembered any
+    /// longer.
     fn is_over(&self, now: Millis) -> bool {
-        let lifted = |r: LimitReport| r.limit.is_none() && now - r.until >= REMEMBERED;
+        let lifted = |r: LimitReport| r.limit.is_none() && now - r.until >= LIFTED_RETENTION;
         self.report.is_none_or(lifted) && self.warmup.is_none_or(|w| now >= w.until)
     }
 
-    /// Time until a request may be sent; zero if one may now, as far as is known.
+    /// Returns the time until a request may be sent; zero if that is now, as far as is known.
     fn wait(&self, now: Millis) -> Millis {
-        match (self.limit(now), &self.savings) {
+        match (self.limit(now), &self.bucket) {
             (None, _) => Millis::ZERO,
-            (Some(limit), Some(savings)) => savings.wait(limit, now),
+            (Some(limit), Some(bucket)) => bucket.wait(limit, now),
             (Some(_), None) => self.spent - now,
         }
     }
 }
 
-/// The limits of all targets, as a daemon knows them.
+/// Limits of all targets, as known to one daemon.
 #[derive(Debug, Clone, Default)]
 pub struct LimitTable {
     targets: HashMap<TargetId, Limited>,
 }
 
 impl LimitTable {
-    /// Takes in what an answer said of its target.
+    /// Applies the limit that an answer reported for its target.
     pub fn hear(&mut self, id: &TargetId, report: LimitReport) -> Heard {
         let Some(known) = self.targets.get(id).and_then(|limited| limited.report) else {
             if report.limit.is_none() {
@@ -272,64 +274,66 @@
         }
     }
 
-    /// Notes that a target warms up until a moment, and takes `limit` until then.
+    /// Records that a target warms up until `until`, and accepts requests at the rate `limit`
+    /// during that time.
     pub fn note_warmup(&mut self, id: &TargetId, limit: RateLimit, until: Millis) {
         self.entry(id).warmup = Some(WarmupLimit { limit, until });
     }
 
-    /// The limit that a target names.
+    /// Returns the limit that a target reported.
     pub fn limit(&self, id: &TargetId) -> Option<RateLimit> {
-        self.targets.get(id)?.named()
+        self.targets.get(id)?.reported()
     }
 
-    /// The limit that holds for a target now: the one that it names, or the one for as long
-    /// as it warms up if that is lower.
+    /// Returns the limit in force for a target: the lower one of the reported limit and the warm-up
+    /// limit.
     pub fn limit_at(&self, id: &TargetId, now: Millis) -> Option<RateLimit> {
         self.targets.get(id)?.limit(now)
     }
 
-    /// The targets that name a limit, with it.
+    /// Returns the targets that report a limit, with that limit.
     pub fn limits(&self) -> impl Iterator<Item = (&TargetId, RateLimit)> {
         let all = self.targets.iter();
-        all.filter_map(|(id, limited)| Some((id, limited.named()?)))
+        all.filter_map(|(id, limited)| Some((id, limited.reported()?)))
     }
 
-    /// The targets that name or named a limit, or warm up.
+    /// Returns the targets that have or had a limit, or warm up.
     pub fn targets(&self) -> impl Iterator<Item = &TargetId> {
         self.targets.keys()
     }
 
-    /// Whether no target names or named a limit, and none warms up.
+    /// Returns whether no target has or had a limit, and none warms up.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.targets.is_empty()
     }
 
-    /// As keeper of a target: grants a part of its limit from now on.
+    /// Takes over the token bucket of a target, or changes the fraction `part` of the limit that
+    /// this daemon grants.
     ///
-    /// A keeper that hears only some of the daemons grants their part, since the others
-    /// may have a keeper of their own.
+    /// An owner that receives heartbeats from only some of the daemons grants their fraction of the
+    /// limit, since the others may have an owner of their own.
     pub fn keep(&mut self, id: &TargetId, part: f64, now: Millis) {
         let Some(limited) = self.targets.get_mut(id) else {
             return;
         };
         let limit = limited.limit(now);
-        let savings = limited.savings.get_or_insert(Savings::begin(part, now));
+        let bucket = limited.bucket.get_or_insert(TokenBucket::empty(part, now));
         if let Some(limit) = limit {
-            savings.requests = savings.saved(limit, now);
+            bucket.tokens = bucket.available(limit, now);
         }
-        savings.at = now;
-        savings.part = part;
+        bucket.updated_at = now;
+        bucket.part = part;
     }
 
-    /// Leaves a target to another keeper.
+    /// Gives up the token bucket of a target.
     pub fn leave(&mut self, id: &TargetId) {
         if let Some(limited) = self.targets.get_mut(id) {
-            limited.savings = None;
+            limited.bucket = None;
         }
     }
 
-    /// As keeper: grants a request, if the target's limit leaves room for it.
+    /// Grants a request to a target if this daemon owns the target and its bucket holds a token.
     pub fn take(&mut self, id: &TargetId, now: Millis) -> Grant {
         let Some(limited) = self.targets.get_mut(id) else {
             return Grant::Unlimited;
@@ -337,57 +341,59 @@
         let Some(limit) = limited.limit(now) else {
             return Grant::Unlimited;
         };
-        let Some(savings) = &mut limited.savings else {
+        let Some(bucket) = &mut limited.bucket else {
             return Grant::NotKept;
         };
-        let saved = savings.saved(limit, now);
-        if saved < 1.0 {
-            return Grant::Spent(savings.wait(limit, now));
+        let available = bucket.available(limit, now);
+        if available < 1.0 {
+            return Grant::Spent(bucket.wait(limit, now));
         }
-        savings.requests = saved - 1.0;
-        savings.at = now;
+        bucket.tokens = available - 1.0;
+        bucket.updated_at = now;
         Grant::Granted
     }
 
-    /// Notes that no grant is to be had for a target until a moment.
+    /// Records that the owner of a target grants nothing until `until`.
     pub fn note_spent(&mut self, id: &TargetId, until: Millis) {
         if let Some(limited) = self.targets.get_mut(id) {
             limited.spent = until;
         }
     }
 
-    /// Time until a target may be sent a request; zero if it may now, as far as is known.
+    /// Returns the time until a request may be sent to a target; zero if that is now, as far as is
+    /// known.
     pub fn wait(&self, id: &TargetId, now: Millis) -> Millis {
         let limited = self.targets.get(id);
         limited.map_or(Millis::ZERO, |limited| limited.wait(now))
     }
 
-    /// Whether a target may not be sent a request now.
+    /// Returns whether no request may be sent to a target now.
     pub fn is_spent(&self, id: &TargetId, now: Millis) -> bool {
         self.wait(id, now) > Millis::ZERO
     }
 
-    /// The targets that may not be sent a request now.
+    /// Returns the targets to which no request may be sent now.
     pub fn spent(&self, now: Millis) -> Vec<TargetId> {
         let all = self.targets.iter();
         let spent = all.filter(|(_, limited)| limited.wait(now) > Millis::ZERO);
         spent.map(|(id, _)| id.clone()).collect()
     }
 
-    /// What to tell of a target.
+    /// Returns a target's limit in the form that is sent to other daemons.
     pub fn told(&self, id: &TargetId, now: Millis) -> Option<ToldLimit> {
         let report = self.targets.get(id)?.report?;
         Some(ToldLimit::new(id, &report, now))
     }
 
-    /// As keeper: what to tell of the targets that this daemon keeps.
+    /// Returns the limits of the targets that this daemon owns, in the form that is sent to other
+    /// daemons.
     pub fn told_kept(&self, now: Millis) -> Vec<ToldLimit> {
-        let kept = self.targets.iter().filter(|(_, l)| l.savings.is_some());
+        let kept = self.targets.iter().filter(|(_, l)| l.bucket.is_some());
         kept.filter_map(|(id, l)| Some(ToldLimit::new(id, &l.report?, now)))
             .collect()
     }
 
-    /// Forgets targets that are gone, and limits that were lifted long ago.
+    /// Removes targets that no longer exist, and limits that were lifted long ago.
     pub fn retain(&mut self, known: impl Fn(&TargetId) -> bool, now: Millis) {
         self.targets
             .retain(|id, limited| known(id) && !limited.is_over(now));
--- a/crates/thistlesill-policy/src/edge/load.rs
+++ b/crates/thistlesill-policy/src/edge/load.rs
@@ -1,8 +1,7 @@
-//! Which target gets a request.
+//! Choice of the target for a request, by load.
 //!
-//! A daemon counts the requests that it has at each target and adds what its
-//! peers told of theirs. Targets that stopped making progress are passed
-//! over until they show some again.
+//! A daemon counts the requests that it has at each target and adds the counts that its peers
+//! report. Targets that stopped making progress are avoided until they make progress again.
 
 mod pass;
 mod peers;
@@ -18,96 +17,94 @@
 use self::peers::PeerCounts;
 pub use self::work::Work;
 
-/// Targets of the own data centre that are drawn to pick the best of, by a daemon
-/// that knows the load of the others only from what they told a while ago.
-const DRAWN_NEAR: usize = 4;
-/// Targets of other data centres that are drawn beside them. Their load is known
-/// less well, and daemons that know the same should not all pick the same one.
-const DRAWN_FAR: usize = 2;
-/// Added to the expected time in another data centre, in milliseconds: its
-/// share of the price of bytes between them, where the wait is about equal.
-const FAR: f64 = 25.0;
-/// Part of an answer's time after the first event that counts in the choice;
-/// the first event and the pauses decide whether an answer is in time.
-const ANSWER_PART: f64 = 0.25;
-/// Part of a target's places from which on it counts as busy; no request is
-/// turned away while a target has more than that free.
-const BUSY: f64 = 0.6;
-/// Part of the objective beyond which a request would begin too late.
-/// Bounds of 0.8 to 1.5 gave the same on twenty measured days.
-const LATE: f64 = 1.0;
-/// How many times its usual pause a group may be silent before it counts as
-/// stopped, since prompts that all daemons send are read in between.
-const PASSES: f64 = 3.0;
-/// How long a target that failed a request is passed over.
-const SUSPECT: Millis = Millis::new(2_500);
-/// How long after an event the streams of a target count as going on: several
-/// usual pauses, and less than the shortest after which a stream is taken up
-/// elsewhere.
-const GOES_ON: Millis = Millis::new(150);
-/// How long a target that refused a request is passed over: about the time in which a
-/// place comes free there.
-const REFUSED: Millis = Millis::new(100);
-/// How often that time is doubled for a target that goes on refusing, so that it costs
-/// a retry every 1.6 s.
-const REFUSED_DOUBLED: u32 = 4;
-/// Weight of a new observation of a target's time.
-const LEARNING: f64 = 0.2;
-/// Times the usual pause between events from which on a group counts as slow;
-/// prompts that daemons have not told of yet make half of that.
-const SLOW: f64 = 2.0;
-/// The longest pause that is learnt, in usual ones.
-const SLOWEST: f64 = 20.0;
-/// How long it is believed that a group is slow without another event.
-const SLOW_TRUST: Millis = Millis::new(2_500);
-
-/// A request that asks for a target.
+/// Number of targets sampled in the own data centre, by a daemon that knows the load of other
+/// daemons only from older reports.
+const NEAR_SAMPLES: usize = 4;
+/// Number of targets sampled in other data centres, in addition. Their load is known less
+/// precisely, and daemons with the same knowledge should not all pick the same target.
+const FAR_SAMPLES: usize = 2;
+/// Penalty on the expected time at a target in another data centre, in milliseconds: it stands for
+/// the cost of traffic between data centres, and decides where the waits are about equal.
+const FAR_PENALTY_MS: f64 = 25.0;
+/// Weight of an answer's duration after the first event; the first event and the pauses determine
+/// whether an answer is in time.
+const ANSWER_WEIGHT: f64 = 0.25;
+/// Ratio of a target's slots from which on it counts as busy; no request is refused while any
+/// target is below that.
+const BUSY_RATIO: f64 = 0.6;
+/// Ratio of the latency objective beyond which a request would begin too late. Ratios of 0.8 to 1.5
+/// gave the same result on twenty measured days.
+const LATE_RATIO: f64 = 1.0;
+/// How many usual pauses a group may be silent before it counts as stalled, since the prompts of
+/// all daemons are processed in between.
+const MAX_SILENT_PAUSES: f64 = 3.0;
+/// How long a target that failed a request is avoided.
+const SUSPECT_DURATION: Millis = Millis::new(2_500);
+/// How long after an event the streams of a target count as active: several usual pauses, and less
+/// than the shortest pause after which a stream is resumed at another target.
+const STREAM_ACTIVITY: Millis = Millis::new(150);
+/// First backoff after a target refused a request: about the time in which a slot comes free there.
+const REFUSAL_BACKOFF: Millis = Millis::new(100);
+/// Maximum number of times that the backoff is doubled, so that a target that keeps refusing costs
+/// one retry every 1.6 s.
+const MAX_BACKOFF_DOUBLINGS: u32 = 4;
+/// Weight of a new sample in the moving averages.
+const SAMPLE_WEIGHT: f64 = 0.2;
+/// Ratio of the observed to the usual pause between events from which on a group counts as slow;
+/// prompts that daemons have not reported yet account for half of that.
+const SLOW_RATIO: f64 = 2.0;
+/// Cap on a sampled pause, as a ratio to the usual pause.
+const MAX_PAUSE_RATIO: f64 = 20.0;
+/// How long a group is believed to be slow without another event.
+const SLOW_VALIDITY: Millis = Millis::new(2_500);
+
+/// A request for which a target is picked.
 #[derive(Debug, Clone, Copy)]
 pub struct Wanted<'a> {
-    /// The engines of its service, if it runs models.
+    /// Engines of the service, if it runs models.
     pub engine: Option<&'a Engine>,
-    /// Tokens of its prompt.
+    /// Length of the prompt in tokens.
     pub prompt: u32,
-    /// The data centre of the daemon.
+    /// Data centre of this daemon.
     pub hall: &'a HallId,
 }
 
-/// What a daemon knows of one target's load.
+/// State of one target, as observed by this daemon.
 #[derive(Debug, Clone, Default)]
 pub struct TargetLoad {
-    /// Work of this daemon's requests.
+    /// Work of this daemon's own requests.
     own: Work,
     /// When the target last sent something to this daemon.
     progress: Millis,
-    /// Until when it is passed over.
+    /// Until when the target is avoided.
     suspect: Millis,
-    /// Requests that it refused since it last took one.
+    /// Requests that the target refused since it last accepted one.
     refusals: u32,
-    /// Until when others are preferred since it refused.
-    full: Millis,
-    /// Time of a request, in milliseconds, learnt; 0 if unknown.
-    time: f64,
-    /// Pause between the events of a stream, in usual ones, learnt; 0 if
-    /// unknown.
+    /// Until when other targets are preferred after a refusal.
+    full_until: Millis,
+    /// Moving average of the duration of a request, in milliseconds; 0 if unknown.
+    duration: f64,
+    /// Moving average of the pause between the events of a stream, as a ratio to the usual pause; 0
+    /// if unknown.
     pause: f64,
 }
 
 impl TargetLoad {
-    /// Notes that the target sent something.
+    /// Records that the target sent something.
     const fn hear(&mut self, now: Millis) {
         self.progress = now;
         self.suspect = Millis::ZERO;
     }
 
-    /// Whether streams of this daemon go on at the target.
-    fn goes_on(&self, now: Millis) -> bool {
-        self.own.requests > 0 && now - self.progress < GOES_ON
+    /// Returns whether this daemon has active streams at the target.
+    fn has_active_streams(&self, now: Millis) -> bool {
+        self.own.requests > 0 && now - self.progress < STREAM_ACTIVITY
     }
 
-    /// How many times slower than usual the target is; 1 if it is not slow.
-    fn slowness(&self, now: Millis) -> f64 {
-        let known = now - self.progress < SLOW_TRUST;
-        if known && self.pause >= SLOW {
+    /// Returns how many times slower than usual the target is; 1 if it is not slow.
+    fn slowdown(&self, now: Millis) -> f64 {
+        let known = now - self.progress < SLOW_VALIDITY;
+        if known && self.pause >= SLOW_RATIO {
             self.pause
         } else {
             1.0
@@ -115,175 +112,176 @@
     }
 }
 
-/// What a daemon knows of all targets' load.
+/// Load of all targets, as known to one daemon.
 #[derive(Debug, Clone, Default)]
 pub struct LoadTable {
     targets: HashMap<TargetId, TargetLoad>,
     peers: PeerCounts,
-    /// All work at targets as their owners told of it, and until when it is believed.
-    told: HashMap<TargetId, (Work, Millis)>,
+    /// Total work at targets as reported by their owners, and until when that is valid.
+    totals: HashMap<TargetId, (Work, Millis)>,
 }
 
-/// How a target is picked.
+/// How precisely the load of targets is known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Knowledge {
     /// The counts of the own data centre are exact: the best target is picked.
     Exact,
-    /// They are old: the best of a few drawn ones is picked, since daemons that know
-    /// the same should not all pick the same one.
+    /// The counts are old: the best of a small sample is picked, since daemons with the same
+    /// knowledge should not all pick the same target.
     Old,
 }
 
 impl LoadTable {
-    /// Notes that a request with a prompt of `unread` tokens was sent.
+    /// Records that a request with a prompt of `unread` tokens was sent.
     pub fn begin(&mut self, id: &TargetId, unread: u32) {
         let own = &mut self.entry(id).own;
         own.requests += 1;
         own.unread += unread;
     }
 
-    /// Notes that the prompt of a request was read.
+    /// Records that the prompt of a request was processed.
     pub fn read(&mut self, id: &TargetId, unread: u32) {
         let own = &mut self.entry(id).own;
         own.unread = own.unread.saturating_sub(unread);
     }
 
-    /// Notes that a request at a target ended.
+    /// Records that a request at a target ended.
     pub fn end(&mut self, id: &TargetId) {
         let own = &mut self.entry(id).own;
         own.requests = own.requests.saturating_sub(1);
     }
 
-    /// Notes that a target sent something.
+    /// Records that a target sent something, and resets its count of refusals.
     pub fn note_progress(&mut self, id: &TargetId, now: Millis) {
         let load = self.entry(id);
         load.hear(now);
         load.refusals = 0;
     }
 
-    /// Notes how long a request took.
+    /// Records the duration of a request.
     pub fn note_time(&mut self, id: &TargetId, took: Millis) {
         let load = self.entry(id);
         let took = took.get() as f64;
-        load.time = if load.time > 0.0 {
-            load.time + LEARNING * (took - load.time)
+        load.duration = if load.duration > 0.0 {
+            load.duration + SAMPLE_WEIGHT * (took - load.duration)
         } else {
             took
         };
     }
 
-    /// Notes the pause before an event of a stream.
+    /// Records the pause before an event of a stream.
     pub fn note_pause(&mut self, target: &Target, engine: &Engine, pause: Millis, now: Millis) {
         let work = self.work(&target.id, now);
         let usual = Pass::of(target, engine, work).pause();
-        let pause = (pause.get() as f64 / usual.max(1.0)).min(SLOWEST);
+        let pause = (pause.get() as f64 / usual.max(1.0)).min(MAX_PAUSE_RATIO);
         let load = self.entry(&target.id);
-        load.pause += LEARNING * (pause - load.pause);
+        load.pause += SAMPLE_WEIGHT * (pause - load.pause);
     }
 
-    /// Targets whose streams are slow.
+    /// Returns the targets whose streams are slow.
     pub fn slow(&self, now: Millis) -> Vec<TargetId> {
-        let slow = self.targets.iter().filter(|(_, l)| l.slowness(now) > 1.0);
+        let slow = self.targets.iter().filter(|(_, l)| l.slowdown(now) > 1.0);
         slow.map(|(id, _)| id.clone()).collect()
     }
 
-    fn slowness(&self, id: &TargetId, now: Millis) -> f64 {
-        self.targets.get(id).map_or(1.0, |l| l.slowness(now))
+    fn slowdown(&self, id: &TargetId, now: Millis) -> f64 {
+        self.targets.get(id).map_or(1.0, |l| l.slowdown(now))
     }
 
-    /// When the target last sent something to this daemon.
+    /// Returns when the target last sent something to this daemon; zero if never.
     pub fn progress(&self, id: &TargetId) -> Millis {
         self.targets.get(id).map_or(Millis::ZERO, |l| l.progress)
     }
 
-    /// Notes that a target failed or stopped; returns whether this is news.
+    /// Records that a target failed or stalled, so that it is avoided for a while. Returns whether
+    /// the target was not avoided already.
     pub fn suspect(&mut self, id: &TargetId, now: Millis) -> bool {
         let load = self.entry(id);
-        let news = load.suspect <= now;
-        load.suspect = now + SUSPECT;
-        news
+        let is_new = load.suspect <= now;
+        load.suspect = now + SUSPECT_DURATION;
+        is_new
     }
 
-    /// Notes that a target answered a request without taking it: others are preferred for
-    /// a time that grows until it takes one.
+    /// Records that a target refused a request: others are preferred for a time that grows with
+    /// each refusal until the target accepts a request.
     ///
-    /// A refusal is a fast answer, so what is learnt of times does not speak against the
-    /// target; each request that it is sent first costs a retry, of which there are few.
-    /// With one of two targets full, 20 of 20 requests in a row are answered and 6 without
-    /// this (a daemon before stand-ins, the other target 30 ms farther away).
+    /// A refusal is a fast answer, so the average duration does not count against the target, and
+    /// each request that is sent to the target first costs one of few retries. With one of two
+    /// targets full, 20 of 20 requests in a row are answered, and 6 without this rule (one daemon
+    /// before stand-ins, the other target 30 ms farther away).
     pub fn note_refused(&mut self, id: &TargetId, now: Millis) {
         let load = self.entry(id);
-        let doubled = load.refusals.min(REFUSED_DOUBLED);
+        let doubled = load.refusals.min(MAX_BACKOFF_DOUBLINGS);
         load.hear(now);
         load.refusals += 1;
-        load.full = now + Millis::new(REFUSED.get() << doubled);
+        load.full_until = now + Millis::new(REFUSAL_BACKOFF.get() << doubled);
     }
 
-    /// Whether a target refused a request a moment ago.
+    /// Returns whether a target refused a request recently.
     fn is_full(&self, id: &TargetId, now: Millis) -> bool {
-        self.targets.get(id).is_some_and(|l| l.full > now)
+        self.targets.get(id).is_some_and(|l| l.full_until > now)
     }
 
-    /// Whether a target is passed over.
+    /// Returns whether a target is avoided.
     pub fn is_suspect(&self, id: &TargetId, now: Millis) -> bool {
         self.targets.get(id).is_some_and(|l| l.suspect > now)
     }
 
-    /// Targets that are passed over now.
+    /// Returns the targets that are avoided now.
     pub fn suspects(&self, now: Millis) -> Vec<TargetId> {
         let found = self.targets.iter().filter(|(_, l)| l.suspect > now);
         found.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Targets that are passed over although this daemon's streams there go on: one
-    /// that leaves accepts no connections while it works off what it has.
+    /// Returns the targets that are avoided although this daemon has active streams there: a target
+    /// that leaves accepts no connections while it completes its requests.
     pub fn going_on(&self, now: Millis) -> Vec<TargetId> {
         let found = self.targets.iter().filter(|(_, l)| l.suspect > now);
-        let found = found.filter(|(_, l)| l.goes_on(now));
+        let found = found.filter(|(_, l)| l.has_active_streams(now));
         found.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Takes in a peer's counts, to be believed until a moment.
+    /// Replaces a peer's counts, which are valid until `until`.
     pub fn hear(&mut self, peer: &NodeId, counts: HashMap<TargetId, Work>, until: Millis) {
         self.peers.hear(peer, counts, until);
     }
 
-    /// Counts a request that a peer will send to a target, until it tells more.
+    /// Counts a request that a peer is about to send to a target, until the peer's next counts.
     pub fn grant(&mut self, peer: &NodeId, id: &TargetId, unread: u32, until: Millis) {
         self.peers.grant(peer, id, unread, until);
     }
 
-    /// Takes in all work at a target as its owner told of it, to be believed until a
-    /// moment.
+    /// Sets the total work at a target as reported by its owner, valid until `until`.
     pub fn hear_total(&mut self, id: TargetId, work: Work, until: Millis) {
-        self.told.insert(id, (work, until));
+        self.totals.insert(id, (work, until));
     }
 
-    /// This daemon's requests by target.
+    /// Returns this daemon's own work by target.
     pub fn counts(&self) -> Vec<(TargetId, Work)> {
         let busy = self.targets.iter().filter(|(_, l)| l.own.requests > 0);
         busy.map(|(id, l)| (id.clone(), l.own)).collect()
     }
 
-    /// Forgets targets that are gone and peers that fell silent.
+    /// Removes targets that no longer exist, unless this daemon has requests there, and counts that
+    /// are no longer valid.
     pub fn retain(&mut self, known: impl Fn(&TargetId) -> bool, now: Millis) {
         self.targets.retain(|id, l| l.own.requests > 0 || known(id));
-        self.told.retain(|_, (_, until)| now < *until);
+        self.totals.retain(|_, (_, until)| now < *until);
         self.peers.retain(now);
     }
 
-    /// Work at a target, of this daemon and its peers.
+    /// Returns the work at a target, of this daemon and its peers.
     ///
-    /// An owner's word counts where it tells of more: this daemon may not hear all
-    /// who have requests there.
+    /// The total that an owner reported counts where it is higher: this daemon may not receive the
+    /// counts of every daemon that has requests there.
     pub fn work(&self, id: &TargetId, now: Millis) -> Work {
         let own = self.targets.get(id).map_or_else(Work::default, |l| l.own);
         let counted = own + self.peers.work(id, now);
-        let told = self.told.get(id).filter(|(_, until)| now < *until);
-        told.map_or(counted, |(told, _)| counted.max(*told))
+        let total = self.totals.get(id).filter(|(_, until)| now < *until);
+        total.map_or(counted, |(total, _)| counted.max(*total))
     }
 
-    /// Requests at each target, of this daemon and its peers.
+    /// Returns the number of requests at each target, of this daemon and its peers.
     pub fn requests(&self, now: Millis) -> HashMap<TargetId, u32> {
         let mut all: HashMap<TargetId, u32> = HashMap::new();
         for (id, work) in self.counts() {
@@ -295,39 +293,39 @@
         all
     }
 
-    /// How long a group may be silent while it works off what it has, in
-    /// milliseconds.
+    /// Returns how long a group may be silent while it processes its requests.
     pub fn patience(&self, target: &Target, engine: &Engine, now: Millis) -> Millis {
         let work = self.work(&target.id, now);
         let pass = Pass::of(target, engine, work);
-        let slowness = self.slowness(&target.id, now);
-        Millis::new((PASSES * pass.pause() * slowness) as u64)
+        let slowdown = self.slowdown(&target.id, now);
+        Millis::new((MAX_SILENT_PAUSES * pass.pause() * slowdown) as u64)
     }
 
-    /// The expected time of one more request at a target, in milliseconds.
-    fn expected(&self, target: &Target, wanted: &Wanted<'_>, now: Millis) -> f64 {
+    /// Returns the expected duration of one more request at a target, in milliseconds, with the
+    /// penalty for another data centre.
+    fn expected_ms(&self, target: &Target, wanted: &Wanted<'_>, now: Millis) -> f64 {
         let mut work = self.work(&target.id, now);
         let far = if target.hall == *wanted.hall {
             0.0
         } else {
-            FAR
+            FAR_PENALTY_MS
         };
         let Some(engine) = wanted.engine else {
             let slots = f64::from(target.slots.max(1));
-            let time = self.targets.get(&target.id).map_or(0.0, |l| l.time);
-            return far + time.max(1.0) * (1.0 + f64::from(work.requests) / slots);
+            let duration = self.targets.get(&target.id).map_or(0.0, |l| l.duration);
+            return far + duration.max(1.0) * (1.0 + f64::from(work.requests) / slots);
         };
         work.unread += wanted.prompt;
         let pass = Pass::of(target, engine, work);
-        let time = pass.begin(engine, work) + ANSWER_PART * pass.answer(engine);
-        far + time * self.slowness(&target.id, now)
+        let duration = pass.begin(engine, work) + ANSWER_WEIGHT * pass.answer(engine);
+        far + duration * self.slowdown(&target.id, now)
     }
 
-    /// How much later than `aim` a request would begin at the best target,
-    /// if all are busy; `None` if it may be sent.
+    /// Returns how much later than `aim` a request would begin at the best target if all targets
+    /// are busy; `None` if the request may be sent.
     ///
-    /// A request that would begin too late also delays those behind it, so
-    /// its caller does better to come back when the targets have caught up.
+    /// A request that would begin too late also delays those behind it, so its caller does better
+    /// to retry when the targets have caught up.
     pub fn overload(
         &self,
         candidates: &[&Target],
@@ -339,23 +337,23 @@
         let mut least = f64::MAX;
         for target in candidates {
             let mut work = self.work(&target.id, now);
-            let busy = f64::from(work.requests) >= BUSY * f64::from(engine.slots);
+            let busy = f64::from(work.requests) >= BUSY_RATIO * f64::from(engine.slots);
             if !busy && !self.is_suspect(&target.id, now) {
                 return None;
             }
             work.unread += wanted.prompt;
             let begin = Pass::of(target, engine, work).begin(engine, work);
-            least = least.min(begin * self.slowness(&target.id, now));
+            least = least.min(begin * self.slowdown(&target.id, now));
         }
         let aim = aim.get() as f64;
-        let late = least - aim * LATE;
+        let late = least - aim * LATE_RATIO;
         (late > 0.0 && least < f64::MAX).then(|| Millis::new(late as u64))
     }
 
-    /// Whether some target has room, so that a request that is late in any
-    /// case takes nothing away from those that can be in time.
+    /// Returns whether some target has room, so that a request that is late in any case takes no
+    /// capacity from requests that can be in time.
     pub fn has_room(&self, candidates: &[&Target], engine: &Engine, now: Millis) -> bool {
-        let most = BUSY * f64::from(engine.slots);
+        let most = BUSY_RATIO * f64::from(engine.slots);
         let room = |target: &&Target| {
             let requests = self.work(&target.id, now).requests;
             f64::from(requests) < most && !self.is_suspect(&target.id, now)
@@ -363,13 +361,13 @@
         candidates.iter().any(room)
     }
 
-    /// Whether any peer has told of its load.
+    /// Returns whether counts of any peer are known.
     pub fn hears_peers(&self) -> bool {
         !self.peers.is_empty()
     }
 
-    /// The best of `candidates`, as far as `knowledge` goes; those that are full only if
-    /// there is no other, and those that are passed over last.
+    /// Picks the best of `candidates`, as far as `knowledge` allows. Targets that refused a request
+    /// recently are picked only if there is no other, and avoided ones last.
     pub fn pick<'a>(
         &self,
         candidates: &[&'a Target],
@@ -378,11 +376,11 @@
         now: Millis,
         rng: &mut impl rand::Rng,
     ) -> Option<&'a Target> {
-        let sound = only(candidates, |t| !self.is_suspect(&t.id, now));
-        let free = only(&sound, |t| !self.is_full(&t.id, now));
-        let pool = match (free.is_empty(), sound.is_empty()) {
+        let healthy = only(candidates, |t| !self.is_suspect(&t.id, now));
+        let free = only(&healthy, |t| !self.is_full(&t.id, now));
+        let pool = match (free.is_empty(), healthy.is_empty()) {
             (false, _) => &free,
-            (true, false) => &sound,
+            (true, false) => &healthy,
             (true, true) => candidates,
         };
         if pool.is_empty() {
@@ -390,16 +388,16 @@
         }
         let (near, far): (Vec<&Target>, Vec<&Target>) =
             pool.iter().copied().partition(|t| t.hall == *wanted.hall);
-        let drawn_near = match knowledge {
+        let near_samples = match knowledge {
             Knowledge::Exact => near.len(),
-            Knowledge::Old => DRAWN_NEAR,
+            Knowledge::Old => NEAR_SAMPLES,
         };
-        let mut drawn = draw(&near, drawn_near, rng);
-        drawn.extend(draw(&far, DRAWN_FAR, rng));
-        let timed = drawn
+        let mut sample = draw(&near, near_samples, rng);
+        sample.extend(draw(&far, FAR_SAMPLES, rng));
+        let expected = sample
             .into_iter()
-            .map(|t| (self.expected(t, wanted, now), t));
-        let best = timed.min_by(|(a, _), (b, _)| a.total_cmp(b));
+            .map(|t| (self.expected_ms(t, wanted, now), t));
+        let best = expected.min_by(|(a, _), (b, _)| a.total_cmp(b));
         best.map(|(_, target)| target)
     }
 
@@ -408,16 +406,17 @@
     }
 }
 
-/// Those targets that pass.
+/// Returns the targets for which `pass` is true.
 fn only<'a>(targets: &[&'a Target], pass: impl Fn(&Target) -> bool) -> Vec<&'a Target> {
     targets.iter().copied().filter(|t| pass(t)).collect()
 }
 
-/// Draws some targets, as far apart in the list as they can be.
+/// Draws up to `count` targets, from a random start and with a random stride that spreads them over
+/// the list.
 fn draw<'a>(pool: &[&'a Target], count: usize, rng: &mut impl rand::Rng) -> Vec<&'a Target> {
     let length = pool.len().max(1);
     let start = rng.random_range(0..length);
     let stride = 1 + rng.random_range(0..(length / count.max(1)).max(1));
-    let drawn = (0..count.min(pool.len())).map(|i| pool[(start + i * stride) % length]);
-    drawn.collect()
+    let sample = (0..count.min(pool.len())).map(|i| pool[(start + i * stride) % length]);
+    sample.collect()
 }
--- a/crates/thistlesill-policy/src/edge/load/pass.rs
+++ b/crates/thistlesill-policy/src/edge/load/pass.rs
@@ -1,15 +1,15 @@
-//! How long a group takes for what it has to do, by the engines' published figures.
+//! Time that a group takes for its work, by the published figures of its engines.
 
 use thistlesill_core::edge::{Engine, Target};
 
 use super::Work;
 
-/// What one pass of a group takes, in milliseconds.
+/// Time components of a group's work, in milliseconds.
 pub(super) struct Pass {
-    /// Steps until the next event of each stream.
-    event: f64,
-    /// Reading the prompts that wait.
-    reading: f64,
+    /// Decoding steps until the next event of each stream.
+    event_ms: f64,
+    /// Prefill of the waiting prompts.
+    prefill_ms: f64,
 }
 
 impl Pass {
@@ -19,26 +19,26 @@
         let running = f64::from(work.requests.min(engine.slots));
         let step = pace * (engine.step + engine.step_each * running);
         Self {
-            event: step * f64::from(engine.stride.max(1)),
-            reading: pace * f64::from(work.unread) / engine.read_rate.max(1.0) * 1_000.0,
+            event_ms: step * f64::from(engine.stride.max(1)),
+            prefill_ms: pace * f64::from(work.unread) / engine.read_rate.max(1.0) * 1_000.0,
         }
     }
 
-    /// The longest usual pause between two events of a stream.
+    /// Returns the longest usual pause between two events of a stream.
     pub(super) fn pause(&self) -> f64 {
-        self.event + self.reading
+        self.event_ms + self.prefill_ms
     }
 
-    /// A usual answer, from its first event to its last.
+    /// Returns the duration of a usual answer, from its first event to its last.
     pub(super) fn answer(&self, engine: &Engine) -> f64 {
-        self.event / f64::from(engine.stride.max(1)) * engine.mean_answer
+        self.event_ms / f64::from(engine.stride.max(1)) * engine.mean_answer
     }
 
-    /// The time until one more request has its first event.
+    /// Returns the time until one more request has its first event.
     pub(super) fn begin(&self, engine: &Engine, work: Work) -> f64 {
         let slots = f64::from(engine.slots.max(1));
-        // Each `slots` requests in front end within about one answer.
+        // For each `slots` requests ahead, the wait is about one answer.
         let queue = (f64::from(work.requests) + 1.0 - slots).max(0.0) / slots * self.answer(engine);
-        self.reading + self.event + queue
+        self.prefill_ms + self.event_ms + queue
     }
 }
--- a/crates/thistlesill-policy/src/edge/load/peers.rs
+++ b/crates/thistlesill-policy/src/edge/load/peers.rs
@@ -1,4 +1,4 @@
-//! What peers told of their requests at each target.
+//! Requests at each target as reported by peers.
 
 use std::collections::HashMap;
 use std::ops::Add;
@@ -8,24 +8,24 @@
 
 use super::Work;
 
-/// One peer's requests by target.
+/// Requests of one peer, by target.
 #[derive(Debug, Clone, Default)]
-struct Told {
+struct PeerReport {
     until: Millis,
     counts: HashMap<TargetId, Work>,
 }
 
-/// All peers' requests by target.
+/// Requests of all peers, by target.
 ///
-/// The sums are kept: some hundred peers would be asked for each of some ten targets
-/// at each request.
+/// The sums are kept up to date: computing them would take lookups at some hundred peers for each
+/// of about ten targets, on every request.
 #[derive(Debug, Clone, Default)]
 pub(super) struct PeerCounts {
-    peers: HashMap<NodeId, Told>,
-    /// The sum of all peers' counts, by target.
+    peers: HashMap<NodeId, PeerReport>,
+    /// Sum of all peers' counts, by target.
     sums: HashMap<TargetId, Work>,
-    /// When the first of the counts ends; the sums hold until then.
-    ends: Option<Millis>,
+    /// When the first of the counts expires; the sums are valid until then.
+    expires_at: Option<Millis>,
 }
 
 impl PeerCounts {
@@ -33,16 +33,16 @@
         self.peers.is_empty()
     }
 
-    /// Takes in a peer's counts in place of those that it told before.
+    /// Replaces the counts of a peer.
     pub(super) fn hear(&mut self, peer: &NodeId, counts: HashMap<TargetId, Work>, until: Millis) {
         for (id, work) in &counts {
             *self.sums.entry(id.clone()).or_default() += *work;
         }
-        let news = Told { until, counts };
-        if let Some(old) = self.peers.insert(peer.clone(), news) {
+        let report = PeerReport { until, counts };
+        if let Some(old) = self.peers.insert(peer.clone(), report) {
             self.subtract(&old);
         }
-        self.end_by(until);
+        self.expire_by(until);
     }
 
     /// Adds a request to a peer's counts.
@@ -51,48 +51,51 @@
             requests: 1,
             unread,
         };
-        let told = self.peers.entry(peer.clone()).or_insert(Told {
+        let report = self.peers.entry(peer.clone()).or_insert(PeerReport {
             until,
             counts: HashMap::new(),
         });
-        *told.counts.entry(id.clone()).or_default() += work;
+        *report.counts.entry(id.clone()).or_default() += work;
         *self.sums.entry(id.clone()).or_default() += work;
-        self.end_by(until);
+        self.expire_by(until);
     }
 
-    /// Forgets counts that are out of time.
+    /// Removes expired counts.
     pub(super) fn retain(&mut self, now: Millis) {
-        let over = self.peers.extract_if(|_, told| now >= told.until);
-        let over: Vec<Told> = over.map(|(_, told)| told).collect();
-        for told in &over {
-            self.subtract(told);
+        let expired = self.peers.extract_if(|_, report| now >= report.until);
+        let expired: Vec<PeerReport> = expired.map(|(_, report)| report).collect();
+        for report in &expired {
+            self.subtract(report);
         }
-        self.ends = self.peers.values().map(|told| told.until).min();
+        self.expires_at = self.peers.values().map(|report| report.until).min();
     }
 
-    /// Work at a target.
+    /// Returns the work of all peers at a target.
     pub(super) fn work(&self, id: &TargetId, now: Millis) -> Work {
-        if self.ends.is_none_or(|ends| now < ends) {
+        if self.expires_at.is_none_or(|expires_at| now < expires_at) {
             return self.sums.get(id).copied().unwrap_or_default();
         }
-        let counts = self.fresh(now).filter_map(|told| told.counts.get(id));
+        let counts = self.valid(now).filter_map(|report| report.counts.get(id));
         counts.copied().fold(Work::default(), Add::add)
     }
 
-    /// The counts of each peer.
+    /// Returns the valid counts of all peers, one item for each peer and target.
     pub(super) fn counts(&self, now: Millis) -> impl Iterator<Item = (&TargetId, &Work)> {
-        self.fresh(now).flat_map(|told| &told.counts)
+        self.valid(now).flat_map(|report| &report.counts)
     }
 
-    fn fresh(&self, now: Millis) -> impl Iterator<Item = &Told> {
-        self.peers.values().filter(move |told| now < told.until)
+    fn valid(&self, now: Millis) -> impl Iterator<Item = &PeerReport> {
+        self.peers.values().filter(move |report| now < report.until)
     }
 
-    fn end_by(&mut self, until: Millis) {
-        self.ends = Some(self.ends.map_or(until, |ends| ends.min(until)));
+    fn expire_by(&mut self, until: Millis) {
+        self.expires_at = Some(
+            self.expires_at
+                .map_or(until, |expires_at| expires_at.min(until)),
+        );
     }
 
-    fn subtract(&mut self, old: &Told) {
+    fn subtract(&mut self, old: &PeerReport) {
         for (id, work) in &old.counts {
             if let Some(sum) = self.sums.get_mut(id) {
                 *sum = *sum - *work;
--- a/crates/thistlesill-policy/src/edge/load/work.rs
+++ b/crates/thistlesill-policy/src/edge/load/work.rs
@@ -1,20 +1,20 @@
-//! Requests and prompts at a target, and sums of them.
+//! Amounts of work at a target, and arithmetic on them.
 
 use std::ops::{Add, AddAssign, Sub};
 
 use serde::{Deserialize, Serialize};
 
-/// Requests at a target.
+/// Work at a target.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Work {
     /// Requests that were sent and have not ended.
     pub requests: u32,
-    /// Tokens of prompts whose answers have not begun.
+    /// Prompt tokens of the requests whose answers have not begun.
     pub unread: u32,
 }
 
 impl Work {
-    /// The larger of each part.
+    /// Returns the maximum of each field.
     #[must_use]
     pub fn max(self, other: Self) -> Self {
         Self {
@@ -33,7 +33,7 @@
 impl Sub for Work {
     type Output = Self;
 
-    /// What is left, nothing at least.
+    /// Subtracts each field, saturating at zero.
     fn sub(self, other: Self) -> Self {
         Self {
             requests: self.requests.saturating_sub(other.requests),
