--- a/crates/thistlesill-policy/tests/edge.rs
+++ b/crates/thistlesill-policy/tests/edge.rs
@@ -1,4 +1,4 @@
-//! The decisions of an edge daemon.
+//! Tests of the decisions of an edge daemon.
 
 #[path = "edge/admission.rs"]
 mod admission;
--- a/crates/thistlesill-policy/tests/edge/admission.rs
+++ b/crates/thistlesill-policy/tests/edge/admission.rs
@@ -1,4 +1,4 @@
-//! Which requests may pass.
+//! Tests of admission, by route, key and proof of freshness.
 
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -65,24 +65,27 @@
     if let Some(at) = proved {
         fresh.confirm(at);
     }
-    let asking = Asking {
+    let request = Asking {
         host: "A.example:80",
         path,
         key,
         deadline: Some(Millis::new(1_500)),
     };
     let rng = &mut SmallRng::seed_from_u64(1);
-    admit(Some(&catalog()), &fresh, &bounds(), &asking, NOW, rng)
+    admit(Some(&catalog()), &fresh, &bounds(), &request, NOW, rng)
 }
 
 #[test]
 fn the_longest_prefix_of_the_host_wins() {
-    let passage = ask("/a/b/c", Key::Given("k1"), Some(NOW)).expect("it may pass");
-    assert_eq!(&*passage.route.name, "long");
-    assert_eq!(passage.priority, 1, "the customer's rank goes first");
-    assert_eq!(passage.limit, Millis::new(1_500));
-    let passage = ask("/a/x", Key::Given("k1"), Some(NOW)).expect("it may pass");
-    assert_eq!(&*passage.route.name, "short");
+    let admitted = ask("/a/b/c", Key::Given("k1"), Some(NOW)).expect("it is admitted");
+    assert_eq!(&*admitted.route.name, "long");
+    assert_eq!(
+        admitted.priority, 1,
+        "the customer's priority takes precedence"
+    );
+    assert_eq!(admitted.limit, Millis::new(1_500));
+    let admitted = ask("/a/x", Key::Given("k1"), Some(NOW)).expect("it is admitted");
+    assert_eq!(&*admitted.route.name, "short");
     assert_eq!(
         ask("/b/", Key::Given("k1"), Some(NOW)).err(),
         Some(ErrorKind::NotFound)
@@ -104,14 +107,14 @@
 #[test]
 fn a_key_counts_only_while_the_catalog_is_known_to_be_the_newest() {
     let oldest = NOW - (REVOKE - MARGIN);
-    let just = oldest + Millis::new(1);
-    assert!(ask("/a/x", Key::Given("k1"), Some(just)).is_ok());
+    let just_valid = oldest + Millis::new(1);
+    assert!(ask("/a/x", Key::Given("k1"), Some(just_valid)).is_ok());
     for proved in [Some(oldest), None] {
         let refused = ask("/a/x", Key::Given("k1"), proved).err();
         assert_eq!(
             refused,
             Some(ErrorKind::NotReady),
-            "not 401: nothing is known"
+            "not 401: whether the key is valid is unknown"
         );
     }
     assert!(ask("/open/x", Key::Missing, None).is_ok());
@@ -127,14 +130,14 @@
 
 #[test]
 fn without_a_catalog_nothing_is_said_of_routes_or_keys() {
-    let asking = Asking {
+    let request = Asking {
         host: "a.example",
         path: "/nowhere/",
         key: Key::Missing,
         deadline: None,
     };
     let rng = &mut SmallRng::seed_from_u64(1);
-    let refused = admit(None, &Freshness::default(), &bounds(), &asking, NOW, rng).err();
+    let refused = admit(None, &Freshness::default(), &bounds(), &request, NOW, rng).err();
     assert_eq!(refused, Some(ErrorKind::NotReady));
 }
 
--- a/crates/thistlesill-policy/tests/edge/asked.rs
+++ b/crates/thistlesill-policy/tests/edge/asked.rs
@@ -1,20 +1,20 @@
-//! The work that callers ask for is measured in groups.
+//! Tests of the measurement of demand, in fully busy groups.
 
 use thistlesill_core::{Millis, Model, ServiceName};
 use thistlesill_fakes::engines::engine;
 use thistlesill_policy::edge::asked::{Asked, AskedMeter};
 
-/// Between two requests: 50 a second.
+/// Time between two requests: 50 per second.
 const GAP: Millis = Millis::new(20);
-/// Milliseconds of a group that a request takes: its prompt is read in 40 ms,
-/// and 50 tokens add 0.24 ms each.
+/// Time of a group that one request takes up, in milliseconds: 40 ms of prefill, and 0.24 ms for
+/// each of 50 tokens.
 const WORK: f64 = 52.0;
 
 fn start() -> Millis {
     Millis::new(1_000_000)
 }
 
-/// Notes requests for the large model over a time, and returns its end.
+/// Records requests for the large model during `time`, and returns the end of that time.
 fn ask(meter: &mut AskedMeter, from: Millis, time: Millis, refused: bool) -> Millis {
     let (engine, model) = (engine(), Model::from("large"));
     let mut now = from;
@@ -38,8 +38,8 @@
 }
 
 fn assert_near(work: f64, expected: f64) {
-    let part = work / expected;
-    assert!((0.9..1.1).contains(&part), "{work} for {expected}");
+    let ratio = work / expected;
+    assert!((0.9..1.1).contains(&ratio), "{work} for {expected}");
 }
 
 #[test]
@@ -91,6 +91,6 @@
     assert_eq!(meter.each(&service, &model), None);
     let now = ask(&mut meter, start(), Millis::new(2_000), false);
     ask(&mut meter, now, Millis::new(2_000), true);
-    let each = meter.each(&service, &model).expect("requests came");
+    let each = meter.each(&service, &model).expect("requests arrived");
     assert_near(each, WORK);
 }
--- a/crates/thistlesill-policy/tests/edge/attempt.rs
+++ b/crates/thistlesill-policy/tests/edge/attempt.rs
@@ -1,4 +1,4 @@
-//! What follows an attempt, by what may have run.
+//! Tests of the step that follows an attempt, by what may have run.
 
 use thistlesill_core::ErrorKind;
 use thistlesill_core::error::Ran;
--- a/crates/thistlesill-policy/tests/edge/beats.rs
+++ b/crates/thistlesill-policy/tests/edge/beats.rs
@@ -1,4 +1,4 @@
-//! Beats of daemons in fleets of several sizes.
+//! Tests of the heartbeat schedule in fleets of several sizes.
 
 use thistlesill_core::Millis;
 use thistlesill_policy::edge::beats::{BeatGaps, BeatSchedule, DueBeat};
@@ -7,10 +7,10 @@
     Millis::new(ms)
 }
 
-/// The moments at which each kind is told in some seconds.
-fn told(gaps: &BeatGaps, kind: DueBeat, seconds: u64) -> Vec<Millis> {
+/// The times at which messages of one kind are sent during some seconds.
+fn sent(gaps: &BeatGaps, kind: DueBeat, seconds: u64) -> Vec<Millis> {
     let mut schedule = BeatSchedule::new(ms(0));
-    let mut told = Vec::new();
+    let mut sent = Vec::new();
     let mut now = ms(0);
     while now < ms(seconds * 1_000) {
         match schedule.next(gaps, true, now) {
@@ -18,21 +18,21 @@
                 assert!(until > now, "{until} is not after {now}");
                 now = until;
             }
-            due if due == kind => told.push(now),
+            due if due == kind => sent.push(now),
             _ => {}
         }
     }
-    told
+    sent
 }
 
-fn longest(told: &[Millis]) -> Millis {
-    let gaps = told.windows(2).map(|pair| pair[1] - pair[0]);
+fn longest(sent: &[Millis]) -> Millis {
+    let gaps = sent.windows(2).map(|pair| pair[1] - pair[0]);
     gaps.max().unwrap_or(Millis::ZERO)
 }
 
-/// With beats looked at once in the gap to the own data centre, 3.2 s where that has 200
-/// daemons, a planner was silent for longer than the 1.2 s after which it counts as lost, and
-/// what callers ask for came when it was hardly believed any more.
+/// When all intervals were checked only as often as heartbeats to the own data centre are due, 3.2
+/// s where that has 200 daemons, a planner was silent for longer than the 1.2 s after which it
+/// counts as lost, and reports of the demand arrived when the previous ones had almost expired.
 #[test]
 fn a_planner_of_a_large_data_centre_is_heard_as_often_as_that_of_a_small_one() {
     for daemons in [3_u64, 200, 400] {
@@ -42,9 +42,9 @@
             planner: ms(3_300),
             asked: ms(1_000),
         };
-        assert_eq!(longest(&told(&gaps, DueBeat::All, 30)), ms(400));
-        let asked = told(&gaps, DueBeat::Asked, 30);
-        assert!(asked.len() >= 29, "{} accounts", asked.len());
+        assert_eq!(longest(&sent(&gaps, DueBeat::All, 30)), ms(400));
+        let asked = sent(&gaps, DueBeat::Asked, 30);
+        assert!(asked.len() >= 29, "{} reports", asked.len());
     }
 }
 
@@ -56,9 +56,9 @@
         planner: ms(3_300),
         asked: ms(1_000),
     };
-    assert_eq!(told(&gaps, DueBeat::All, 100).len(), 4);
-    assert!((27..=31).contains(&told(&gaps, DueBeat::Near, 100).len()));
-    assert!((26..=30).contains(&told(&gaps, DueBeat::Planner, 100).len()));
+    assert_eq!(sent(&gaps, DueBeat::All, 100).len(), 4);
+    assert!((27..=31).contains(&sent(&gaps, DueBeat::Near, 100).len()));
+    assert!((26..=30).contains(&sent(&gaps, DueBeat::Planner, 100).len()));
 }
 
 #[test]
--- a/crates/thistlesill-policy/tests/edge/book.rs
+++ b/crates/thistlesill-policy/tests/edge/book.rs
@@ -1,4 +1,4 @@
-//! Targets that are listed, leaving, gone, or only lapsed with the store.
+//! Tests of targets that are listed, leave, disappear, or only expire with the store.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// Its entry as the store lists it.
+/// The entry of a target as the store lists it.
 pub(crate) fn listed(id: impl Into<TargetId>) -> Listing {
     Listing::Listed(Box::new(target(id)))
 }
@@ -74,7 +74,11 @@
     book.apply(vec![listed("a")], None, back + Millis::new(900));
     assert!(!book.expire(None, back + RELIST - Millis::new(1)));
     assert!(book.expire(None, back + RELIST));
-    assert_eq!(count(&book), 1, "what did not come back is gone");
+    assert_eq!(
+        count(&book),
+        1,
+        "a target that is not listed again is removed"
+    );
     assert!(book.knows(&"a".into()));
 }
 
@@ -119,10 +123,10 @@
     catalog
 }
 
-/// A target that may be in a group, lead it, leave, and lie in either data centre.
-fn drawn(rng: &mut SmallRng) -> Target {
+/// A random target: in a group or not, its leader or not, leaving or not, in either data centre.
+fn random_target(rng: &mut SmallRng) -> Target {
     let id = format!("i-{}", rng.random_range(0..12));
-    let life = Incarnation::new(rng.random_range(0..2));
+    let incarnation = Incarnation::new(rng.random_range(0..2));
     let states = [MemberState::Open, MemberState::Ready, MemberState::Broken];
     let member = rng.random_bool(0.8).then(|| Membership {
         of: GroupRef {
@@ -134,7 +138,7 @@
         model: Some(["large", "small"][rng.random_range(0..2)].into()),
     });
     Target {
-        id: TargetId::new(id.into(), life),
+        id: TargetId::new(id.into(), incarnation),
         service: ["s", "pool"][rng.random_range(0..2)].into(),
         hall: HALLS[rng.random_range(0..2)].into(),
         leaving: rng.random_bool(0.2),
@@ -154,7 +158,7 @@
         let change = match rng.random_range(0..6) {
             0 => Listing::Gone(format!("i-{}", rng.random_range(0..12)).into()),
             1 => Listing::Unusable(format!("i-{}", rng.random_range(0..12)).into()),
-            _ => Listing::Listed(Box::new(drawn(&mut rng))),
+            _ => Listing::Listed(Box::new(random_target(&mut rng))),
         };
         book.apply(vec![change], Some(&catalog), later);
         let evacuated = HALLS.iter().filter(|_| round % 40 >= 30);
@@ -162,13 +166,13 @@
         if round % 10 == 0 {
             book.evacuate(&evacuated, Some(&catalog));
         }
-        let mut whole = book.clone();
-        whole.index(Some(&catalog));
+        let mut rebuilt = book.clone();
+        rebuilt.index(Some(&catalog));
         for service in ["s", "pool"] {
             for model in [None, Some("large".into()), Some("small".into())] {
                 let service = service.into();
-                let one = book.serving(&service, model.as_ref());
-                assert_eq!(one, whole.serving(&service, model.as_ref()));
+                let updated = book.serving(&service, model.as_ref());
+                assert_eq!(updated, rebuilt.serving(&service, model.as_ref()));
             }
         }
     }
@@ -184,7 +188,7 @@
     book.apply(vec![Listing::Listed(Box::new(elsewhere))], None, NOW);
     book.evacuate(&["h".into()].into(), None);
     assert_eq!(count(&book), 1);
-    // One that appears there meanwhile, and one whose entry changes.
+    // A target that appears there meanwhile, and one whose entry changes.
     book.apply(vec![listed("d"), listed("a")], None, NOW);
     assert_eq!(count(&book), 1);
     book.evacuate(&[].into(), None);
--- a/crates/thistlesill-policy/tests/edge/evacuation.rs
+++ b/crates/thistlesill-policy/tests/edge/evacuation.rs
@@ -1,4 +1,4 @@
-//! What a daemon believes of data centres that are evacuated.
+//! Tests of a daemon's list of evacuated data centres.
 
 use thistlesill_core::HallId;
 use thistlesill_core::edge::Evacuations;
@@ -40,7 +40,7 @@
 fn changes_that_a_peer_told_before_the_store_did_are_not_undone() {
     let mut table = EvacuationTable::default();
     table.replace(list(3, &["a"]));
-    // A peer tells of a later version while this daemon's question waits at the store.
+    // A peer sends a later version while this daemon's query is pending at the store.
     table.replace(list(9, &[]));
     assert!(table.apply(&[listed("a", true)], 5).is_empty());
     assert_eq!(table.known(), &list(9, &[]));
--- a/crates/thistlesill-policy/tests/edge/feed.rs
+++ b/crates/thistlesill-policy/tests/edge/feed.rs
@@ -1,4 +1,4 @@
-//! Daemons that read the store keep changes for those that follow them.
+//! Tests of the log of changes that readers of the store keep for their followers.
 
 use thistlesill_core::Millis;
 use thistlesill_policy::edge::book::Listing;
@@ -50,7 +50,7 @@
     assert!(kept > 100, "{kept}");
 }
 
-/// Thousands of targets that change several times in seconds, as groups are first formed.
+/// While groups are first formed, thousands of targets change several times within seconds.
 #[test]
 fn of_each_target_the_newest_change_is_kept_however_many_there_are() {
     let mut feed = Feed::default();
@@ -67,7 +67,7 @@
     assert!(missed.iter().all(|c| c.version > 36_000));
     assert_eq!(feed.after(39_990).map(|c| c.len()), Some(10));
     assert_eq!(feed.newest(), 40_000);
-    // One that is gone and listed again counts as listed.
+    // A removal is kept as the newest change as well.
     feed.extend(&[gone(40_001)], 40_001);
     assert_eq!(feed.after(40_000), Some(vec![gone(40_001)]));
 }
@@ -88,7 +88,7 @@
     feed.restart(10);
     assert_eq!(feed.newest(), 10);
     feed.extend(&[gone(12)], 12);
-    // Other tables of the store change too.
+    // Changes of other tables raise the store's version, too.
     feed.extend(&[], 20);
     assert_eq!(feed.newest(), 12);
     assert_eq!(feed.version(), 20);
@@ -103,15 +103,15 @@
     }
 }
 
-/// Batches are passed on from daemon to daemon, and a later one may overtake; dropped,
-/// each would have to be asked for again.
+/// Batches are forwarded from daemon to daemon, and a later one may overtake an earlier one; if
+/// they were dropped, each would have to be requested again.
 #[test]
 fn a_batch_that_overtakes_waits_for_those_before_it() {
     let mut feed = Feed::default();
     feed.restart(10);
     assert_eq!(feed.order(batch(12, 14)), None);
     assert_eq!(feed.order(batch(14, 15)), None);
-    assert_eq!(feed.order(batch(14, 15)), None, "each comes twice");
+    assert_eq!(feed.order(batch(14, 15)), None, "each arrives twice");
     assert_eq!(feed.held(), Some(15));
     assert_eq!(feed.next_held(), None);
     assert_eq!(feed.order(batch(10, 12)), Some(batch(10, 12)));
@@ -132,27 +132,27 @@
         assert_eq!(feed.order(batch(version, version + 1)), None);
     }
     feed.restart(9);
-    let mut taken = 0;
+    let mut applied = 0;
     feed.extend(&[gone(10)], 10);
     while let Some(next) = feed.next_held() {
         feed.extend(&next.list, next.after);
-        taken += 1;
+        applied += 1;
     }
-    assert!((1..100).contains(&taken), "{taken}");
+    assert!((1..100).contains(&applied), "{applied}");
 }
 
 fn ms(ms: u64) -> Millis {
     Millis::new(ms)
 }
 
-/// Before the first requests targets change five times as often as changes take on their way.
+/// Before the first requests, targets change five times in the time that a change takes to arrive.
 #[test]
 fn who_is_always_a_little_behind_knows_how_old_its_knowledge_is() {
     let mut feed = Feed::default();
     feed.restart(0);
     let mut age = 0;
     for now in 1..200 {
-        // The reader is five changes ahead of what has come here.
+        // The reader is five changes ahead of those that have arrived here.
         let proved = feed.claim(now + 5, ms(now));
         assert_eq!(proved, None);
         feed.extend(&[gone(now)], now);
@@ -174,5 +174,5 @@
     assert_eq!(feed.reached(), None);
     feed.extend(&[gone(25)], 25);
     assert_eq!(feed.reached(), Some(ms(25)));
-    assert_eq!(feed.reached(), None, "each holds once");
+    assert_eq!(feed.reached(), None, "each claim is resolved once");
 }
--- a/crates/thistlesill-policy/tests/edge/limit.rs
+++ b/crates/thistlesill-policy/tests/edge/limit.rs
@@ -1,4 +1,5 @@
-//! What daemons believe of limits that targets name, and what a keeper grants.
+//! Tests of the limits that a daemon believes targets to have, and of the token buckets that
+//! enforce them.
 
 use thistlesill_core::Millis;
 use thistlesill_core::edge::{Incarnation, RateLimit, TargetId};
@@ -6,7 +7,7 @@
     Clearance, Grant, Heard, LimitReport, LimitTable, ToldLimit,
 };
 
-/// The time over which what is granted is held against a limit, in milliseconds.
+/// Window over which granted requests are compared with a limit, in milliseconds.
 const WINDOW: u64 = 4_000;
 
 fn target() -> TargetId {
@@ -17,7 +18,7 @@
     Millis::new(ms)
 }
 
-/// A report of an answer that came at `until` to a request that was sent at `from`.
+/// A report from an answer that arrived at `until` to a request that was sent at `from`.
 fn report(limit: impl Into<Option<f64>>, from: u64, until: u64) -> LimitReport {
     LimitReport {
         limit: limit.into().and_then(RateLimit::new),
@@ -26,8 +27,8 @@
     }
 }
 
-/// A table that heard reports one after the other.
-fn heard(reports: &[LimitReport]) -> LimitTable {
+/// A table that observed the reports in this order.
+fn observed(reports: &[LimitReport]) -> LimitTable {
     let mut table = LimitTable::default();
     for report in reports {
         table.hear(&target(), *report);
@@ -39,16 +40,16 @@
     table.limit(&target()).map(RateLimit::get)
 }
 
-/// The moments at which requests are granted to callers that always ask.
+/// The times at which requests are granted to callers that ask every millisecond.
 fn granted(table: &mut LimitTable, from: u64, until: u64) -> Vec<u64> {
     let at = from..until;
     at.filter(|at| table.take(&target(), ms(*at)) == Grant::Granted)
         .collect()
 }
 
-/// The moments at which a keeper grants requests in 40 s under a limit that never changes.
-fn granted_under(named: f64) -> Vec<u64> {
-    let mut table = heard(&[report(named, 0, 10)]);
+/// The times at which an owner grants requests during 40 s under a constant limit.
+fn granted_under(reported: f64) -> Vec<u64> {
+    let mut table = observed(&[report(reported, 0, 10)]);
     table.keep(&target(), 1.0, ms(10));
     granted(&mut table, 10, 40_010)
 }
@@ -67,18 +68,18 @@
 fn an_answer_to_a_later_request_holds_whatever_it_says() {
     let first = report(5.0, 0, 10);
     for later in [2.0, 9.0] {
-        let table = heard(&[first, report(later, 10, 20)]);
+        let table = observed(&[first, report(later, 10, 20)]);
         assert_eq!(limit(&table), Some(later));
     }
-    assert_eq!(limit(&heard(&[first, report(None, 10, 20)])), None);
+    assert_eq!(limit(&observed(&[first, report(None, 10, 20)])), None);
 }
 
 #[test]
 fn an_old_answer_that_comes_after_a_newer_one_changes_nothing() {
     let (old, new) = (report(None, 0, 10), report(2.0, 10, 20));
-    assert_eq!(limit(&heard(&[new, old])), Some(2.0));
+    assert_eq!(limit(&observed(&[new, old])), Some(2.0));
     let (old, new) = (report(2.0, 0, 10), report(None, 10, 20));
-    let mut table = heard(&[report(7.0, 0, 5), new]);
+    let mut table = observed(&[report(7.0, 0, 5), new]);
     assert_eq!(table.hear(&target(), old), Heard::Outdated);
     assert_eq!(limit(&table), None);
 }
@@ -87,18 +88,18 @@
 fn of_answers_in_an_unknown_order_the_stricter_one_holds_until_the_next() {
     let (some, other) = (report(2.0, 0, 30), report(None, 5, 25));
     for order in [[some, other], [other, some]] {
-        let mut table = heard(&order);
+        let mut table = observed(&order);
         assert_eq!(limit(&table), Some(2.0));
         table.hear(&target(), report(None, 31, 40));
         assert_eq!(limit(&table), None);
     }
-    let table = heard(&[report(2.0, 0, 30), report(3.0, 5, 40)]);
+    let table = observed(&[report(2.0, 0, 30), report(3.0, 5, 40)]);
     assert_eq!(limit(&table), Some(2.0));
 }
 
 #[test]
 fn targets_that_never_named_a_limit_cost_nothing() {
-    let mut table = heard(&[report(None, 0, 10)]);
+    let mut table = observed(&[report(None, 0, 10)]);
     assert!(table.is_empty());
     assert_eq!(table.take(&target(), ms(20)), Grant::Unlimited);
     assert!(!table.is_spent(&target(), ms(20)));
@@ -106,29 +107,32 @@
 
 #[test]
 fn a_keeper_grants_no_more_than_the_limit_in_any_window_and_most_of_it() {
-    for named in [0.25, 0.5, 1.0, 1.5, 1.6, 2.0, 5.0, 10.0, 40.0, 250.0] {
-        let granted = granted_under(named);
-        let allowed = (named * WINDOW as f64 / 1_000.0).ceil();
+    for reported in [0.25, 0.5, 1.0, 1.5, 1.6, 2.0, 5.0, 10.0, 40.0, 250.0] {
+        let granted = granted_under(reported);
+        let allowed = (reported * WINDOW as f64 / 1_000.0).ceil();
         let most = most_in_window(&granted) as f64;
-        assert!(most <= allowed, "{named}: {most} of {allowed}");
+        assert!(most <= allowed, "{reported}: {most} of {allowed}");
         let all = granted.len() as f64;
-        assert!(all >= (named * 40.0 * 0.9).floor() - 1.0, "{named}: {all}");
+        assert!(
+            all >= (reported * 40.0 * 0.9).floor() - 1.0,
+            "{reported}: {all}"
+        );
     }
 }
 
-/// How long a grant may be used after it was asked for, in milliseconds.
+/// How long a grant may be used after it was requested, in milliseconds.
 fn validity() -> u64 {
     let clearance = Clearance::granted(ms(10));
     let late = (0..WINDOW).find(|late| !clearance.holds(true, ms(10 + late)));
     late.expect("a grant runs out") - 1
 }
 
-/// A daemon that is frozen with a grant in hand, or whose connection comes up late, begins
-/// its request in a window in which the keeper grants as many as the limit.
+/// A daemon that is frozen while it holds a grant, or whose connection is established late, sends
+/// its request in a window in which the owner grants as many as the limit.
 #[test]
 fn grants_used_at_any_moment_while_they_are_valid_keep_to_the_limit() {
-    for named in [0.25, 0.5, 1.0, 1.5, 1.6, 2.0, 5.0, 10.0, 40.0, 250.0] {
-        let granted = granted_under(named);
+    for reported in [0.25, 0.5, 1.0, 1.5, 1.6, 2.0, 5.0, 10.0, 40.0, 250.0] {
+        let granted = granted_under(reported);
         let span = WINDOW + validity();
         let used = |from: u64| {
             let there = granted
@@ -137,9 +141,9 @@
             there.count()
         };
         let most = granted.iter().map(|from| used(*from)).max();
-        let allowed = (named * WINDOW as f64 / 1_000.0).ceil() as usize;
+        let allowed = (reported * WINDOW as f64 / 1_000.0).ceil() as usize;
         let most = most.unwrap_or(0);
-        assert!(most <= allowed, "{named}: {most} of {allowed}");
+        assert!(most <= allowed, "{reported}: {most} of {allowed}");
     }
 }
 
@@ -151,7 +155,7 @@
 
 #[test]
 fn nothing_is_saved_up_while_nobody_asks() {
-    let mut table = heard(&[report(1.5, 0, 10)]);
+    let mut table = observed(&[report(1.5, 0, 10)]);
     table.keep(&target(), 1.0, ms(10));
     let granted = granted(&mut table, 60_000, 64_000);
     assert!(granted.len() <= 6, "{}", granted.len());
@@ -159,7 +163,7 @@
 
 #[test]
 fn a_limit_that_falls_holds_at_once() {
-    let mut table = heard(&[report(50.0, 0, 10)]);
+    let mut table = observed(&[report(50.0, 0, 10)]);
     table.keep(&target(), 1.0, ms(10));
     granted(&mut table, 10, 5_000);
     table.hear(&target(), report(0.5, 5_000, 5_010));
@@ -169,7 +173,7 @@
 
 #[test]
 fn a_limit_of_zero_is_tried_now_and_then_and_can_be_lifted() {
-    let mut table = heard(&[report(0.0, 0, 10)]);
+    let mut table = observed(&[report(0.0, 0, 10)]);
     table.keep(&target(), 1.0, ms(10));
     let tried = granted(&mut table, 10, 60_010);
     assert!((1..=3).contains(&tried.len()), "{tried:?}");
@@ -177,22 +181,22 @@
     assert_eq!(table.take(&target(), ms(60_030)), Grant::Unlimited);
 }
 
-/// Each side of a partition may have a keeper; together they grant the limit.
+/// Each side of a partition may have an owner; together they grant the limit.
 #[test]
 fn keepers_that_hear_parts_of_the_daemons_grant_the_limit_together() {
     let mut all = Vec::new();
     for part in [2.0 / 9.0, 7.0 / 9.0] {
-        let mut table = heard(&[report(3.0, 0, 10)]);
+        let mut table = observed(&[report(3.0, 0, 10)]);
         table.keep(&target(), part, ms(10));
         all.extend(granted(&mut table, 10, 40_010));
     }
-    // Each of them may have one request saved.
+    // Each owner may have one token in its bucket.
     assert!(most_in_window(&all) <= 13, "{}", most_in_window(&all));
 }
 
 #[test]
 fn a_keeper_grants_nothing_for_what_was_granted_before_it() {
-    let mut table = heard(&[report(1.0, 0, 10)]);
+    let mut table = observed(&[report(1.0, 0, 10)]);
     assert_eq!(table.take(&target(), ms(5_000)), Grant::NotKept);
     table.keep(&target(), 1.0, ms(5_000));
     assert!(matches!(table.take(&target(), ms(5_100)), Grant::Spent(_)));
@@ -204,7 +208,7 @@
 
 #[test]
 fn another_life_of_a_target_begins_without_a_limit() {
-    let mut table = heard(&[report(1.0, 0, 10)]);
+    let mut table = observed(&[report(1.0, 0, 10)]);
     let born = TargetId::new(target().instance().clone(), Incarnation::new(7));
     assert_eq!(table.take(&born, ms(20)), Grant::Unlimited);
     table.retain(|id| *id == born, ms(30));
@@ -213,11 +217,11 @@
 
 #[test]
 fn what_is_told_has_the_same_order_at_another_daemon() {
-    let table = heard(&[report(2.0, 1_000, 1_020)]);
-    let told: ToldLimit = table.told(&target(), ms(1_050)).expect("it is known");
-    // The other daemon's clock, 4 ms after it was told.
+    let table = observed(&[report(2.0, 1_000, 1_020)]);
+    let update: ToldLimit = table.told(&target(), ms(1_050)).expect("it is known");
+    // The other daemon's clock, 4 ms after the update was sent.
     let mut other = LimitTable::default();
-    other.hear(&target(), told.report(ms(90_004)));
+    other.hear(&target(), update.report(ms(90_004)));
     assert_eq!(limit(&other), Some(2.0));
     other.hear(&target(), report(None, 89_960, 90_010));
     assert_eq!(limit(&other), Some(2.0), "it was sent before");
@@ -231,7 +235,7 @@
     let mut table = LimitTable::default();
     table.note_warmup(&target(), rate, ms(10_000));
     assert_eq!(table.limit_at(&target(), ms(9_999)), Some(rate));
-    assert_eq!(limit(&table), None, "it names none");
+    assert_eq!(limit(&table), None, "it reports none");
     assert!(table.told(&target(), ms(20)).is_none());
     table.keep(&target(), 1.0, ms(10));
     let granted = granted(&mut table, 10, 10_000);
@@ -245,17 +249,17 @@
 #[test]
 fn the_lower_one_of_a_named_limit_and_of_a_warm_up_holds() {
     let rate = RateLimit::new(4.0).expect("a limit");
-    for (named, lower) in [(1.0, 1.0), (9.0, 4.0)] {
-        let mut table = heard(&[report(named, 0, 10)]);
+    for (reported, lower) in [(1.0, 1.0), (9.0, 4.0)] {
+        let mut table = observed(&[report(reported, 0, 10)]);
         table.note_warmup(&target(), rate, ms(5_000));
         let limit = |at| table.limit_at(&target(), ms(at)).map(RateLimit::get);
-        assert_eq!((limit(4_000), limit(5_000)), (Some(lower), Some(named)));
+        assert_eq!((limit(4_000), limit(5_000)), (Some(lower), Some(reported)));
     }
 }
 
 #[test]
 fn a_limit_that_was_lifted_is_forgotten_after_a_while() {
-    let mut table = heard(&[report(2.0, 0, 10), report(None, 10, 20)]);
+    let mut table = observed(&[report(2.0, 0, 10), report(None, 10, 20)]);
     table.retain(|_| true, ms(30_000));
     assert!(!table.is_empty());
     table.retain(|_| true, ms(60_020));
--- a/crates/thistlesill-policy/tests/edge/load.rs
+++ b/crates/thistlesill-policy/tests/edge/load.rs
@@ -1,4 +1,5 @@
-//! Which group gets a request, and when it is better told to come back.
+//! Tests of the choice of a target for a request, and of the refusal of requests that would be
+//! late.
 
 use std::collections::HashMap;
 
@@ -12,16 +13,16 @@
 use crate::leaders::leader;
 
 const NOW: Millis = Millis::new(1_000_000);
-/// How long a peer's word is believed.
-const TRUST: Millis = Millis::new(1_500);
+/// How long a peer's counts are valid.
+const COUNTS_VALIDITY: Millis = Millis::new(1_500);
 const AIM: Millis = Millis::new(300);
 
-/// Picks among two groups many times and counts how often the first wins.
+/// Picks one of two groups many times and counts how often that is the first one.
 fn wins(loads: &LoadTable, now: Millis) -> usize {
     wins_among(loads, [leader("a"), leader("b")], Some(&engine()), now)
 }
 
-/// Picks among two plain targets many times and counts how often the first wins.
+/// Picks one of two plain targets many times and counts how often that is the first one.
 fn plain_wins(loads: &LoadTable, now: Millis) -> usize {
     let plain = |id: &str| Target {
         member: None,
@@ -57,7 +58,7 @@
         loads.begin(&a.id, 0);
         taken += 1;
     }
-    assert_eq!(taken, 16, "three fifths of 26 places");
+    assert_eq!(taken, 16, "three fifths of 26 slots");
     assert!(loads.has_room(&[&a, &leader("b")], &engine, NOW));
     loads.suspect(&"b".into(), NOW);
     assert!(!loads.has_room(&[&a, &leader("b")], &engine, NOW));
@@ -67,7 +68,7 @@
 fn nobody_is_turned_away_while_places_are_free() {
     let (a, engine, hall) = (leader("a"), engine(), HallId::from("h"));
     let mut loads = LoadTable::default();
-    // One prompt that takes far longer to read than the objective.
+    // One prompt whose prefill takes far longer than the objective.
     loads.begin(&a.id, 100_000);
     let wanted = Wanted {
         engine: Some(&engine),
@@ -103,7 +104,7 @@
     loads.hear(
         &"peer".into(),
         HashMap::from([("a".into(), work)]),
-        NOW + TRUST,
+        NOW + COUNTS_VALIDITY,
     );
     assert_eq!(wins(&loads, NOW), 0);
     assert_ne!(wins(&loads, NOW + Millis::new(5_000)), 0);
@@ -115,7 +116,7 @@
     assert!(loads.suspect(&"a".into(), NOW));
     assert!(
         !loads.suspect(&"a".into(), NOW),
-        "only the first time is news"
+        "only the first time is a change"
     );
     assert_eq!(wins(&loads, NOW), 0);
     loads.note_progress(&"a".into(), NOW);
@@ -148,7 +149,7 @@
     assert_eq!(
         loads.overload(&[], &wanted, AIM, NOW),
         None,
-        "there is nobody to wait for"
+        "there is no target to wait for"
     );
 }
 
@@ -171,15 +172,15 @@
             .map(|t| t.id.clone())
     };
     assert_eq!(pick(&loads), Some("a".into()));
-    // One more prompt costs 20 ms there: 13 to read it, the rest for its answer.
+    // One more prompt costs 20 ms there: 13 for its prefill, the rest for its answer.
     loads.begin(&"a".into(), 600);
     assert_eq!(pick(&loads), Some("a".into()));
     loads.begin(&"a".into(), 600);
     assert_eq!(pick(&loads), Some("b".into()));
 }
 
-/// A leader that left refused connections, which counted as its death although streams
-/// there went on; its members were used in another group 10 ms before it ended.
+/// A leader that was leaving refused connections, which counted as its failure although its streams
+/// were still active; its members were used in another group 10 ms before it ended.
 #[test]
 fn a_target_whose_streams_go_on_is_told_of_though_it_is_suspected() {
     let mut loads = LoadTable::default();
@@ -193,9 +194,8 @@
     assert!(loads.going_on(now + Millis::new(200)).is_empty());
 }
 
-/// A target that has no place for requests answers faster than any other, so what was
-/// learnt of its times kept it the best: all requests went there first, and the fifth
-/// retry of them was denied.
+/// A target without free slots answers faster than any other, so its average duration kept it the
+/// best choice: all requests were sent there first, and the fifth retry of them was denied.
 #[test]
 fn a_target_that_refuses_is_passed_over_for_longer_each_time() {
     let (a, b) = (TargetId::from("a"), TargetId::from("b"));
@@ -206,15 +206,15 @@
     assert_eq!(plain_wins(&loads, NOW), 40);
     loads.note_refused(&a, NOW);
     assert_eq!(plain_wins(&loads, ms(50)), 0);
-    assert_eq!(plain_wins(&loads, ms(150)), 40, "it is asked again");
+    assert_eq!(plain_wins(&loads, ms(150)), 40, "it is tried again");
     loads.note_refused(&a, ms(150));
     assert_eq!(plain_wins(&loads, ms(150 + 150)), 0);
     assert_eq!(plain_wins(&loads, ms(150 + 250)), 40);
-    // One that took a request starts anew.
+    // A target that accepted a request starts anew.
     loads.note_progress(&a, ms(400));
     loads.note_refused(&a, ms(400));
     assert_eq!(plain_wins(&loads, ms(550)), 40);
-    // It is asked all the same where there is no other.
+    // The target is picked all the same where there is no other.
     loads.suspect(&b, ms(400));
     assert_eq!(plain_wins(&loads, ms(420)), 40);
 }
--- a/crates/thistlesill-policy/tests/edge/owner.rs
+++ b/crates/thistlesill-policy/tests/edge/owner.rs
@@ -1,4 +1,4 @@
-//! Which daemon places requests, and what that is worth under load.
+//! Tests of the choice of an owner, and of its effect under load.
 
 use std::collections::HashMap;
 
@@ -26,7 +26,7 @@
 }
 
 quickcheck! {
-    /// Whoever hears the same daemons, in whatever order, names the same owner.
+    /// All daemons that see the same peers, in whatever order, choose the same owner.
     fn all_agree_on_the_owner(count: u8, turn: usize, model: String) -> bool {
         let daemons = names(usize::from(count % 60) + 1);
         let mut turned = daemons.clone();
@@ -47,12 +47,13 @@
         })
     }
 
-    /// The sums that are kept are those of the counts, whatever came in which order.
-    fn sums_are_those_of_the_counts(told: Vec<(u8, u8, u8, u16)>) -> bool {
+    /// The sums that are kept up to date equal those of the counts, whatever arrived in which
+    /// order.
+    fn sums_are_those_of_the_counts(updates: Vec<(u8, u8, u8, u16)>) -> bool {
         let mut loads = LoadTable::default();
         let mut peers: HashMap<u8, (Millis, HashMap<u8, Work>)> = HashMap::new();
         let mut now = Millis::new(1_000);
-        for (peer, target, kind, unread) in told {
+        for (peer, target, kind, unread) in updates {
             let (peer, target) = (peer % 5, target % 4);
             now = now + Millis::new(u64::from(unread % 300));
             let until = now + Millis::new(700);
@@ -72,13 +73,13 @@
                 loads.retain(|_| true, now);
                 peers.retain(|_, (until, _)| now < *until);
             }
-            let sound = (0..4).all(|target| {
-                let fresh = peers.values().filter(|(until, _)| now < *until);
-                let counts = fresh.filter_map(|(_, counts)| counts.get(&target));
+            let equal = (0..4).all(|target| {
+                let valid = peers.values().filter(|(until, _)| now < *until);
+                let counts = valid.filter_map(|(_, counts)| counts.get(&target));
                 let sum = counts.fold(Work::default(), |sum, work| sum + *work);
                 loads.work(&format!("t{target}").into(), now) == sum
             });
-            if !sound {
+            if !equal {
                 return false;
             }
         }
@@ -89,17 +90,17 @@
 #[test]
 fn an_owner_that_does_not_answer_is_left_alone_for_a_while() {
     let owner = NodeId::from("o");
-    let mut answering = Answering::default();
+    let mut health = Answering::default();
     let now = Millis::new(5_000);
-    answering.missed(&owner, now);
-    assert!(answering.may_ask(&owner, now), "a datagram may be lost");
-    answering.missed(&owner, now);
-    assert!(!answering.may_ask(&owner, now + Millis::new(600)));
-    assert!(answering.may_ask(&owner, now + Millis::new(700)));
-    answering.missed(&owner, now + Millis::new(700));
-    assert!(!answering.may_ask(&owner, now + Millis::new(800)));
-    answering.answered(&owner);
-    assert!(answering.may_ask(&owner, now + Millis::new(800)));
+    health.missed(&owner, now);
+    assert!(health.may_ask(&owner, now), "a datagram may be lost");
+    health.missed(&owner, now);
+    assert!(!health.may_ask(&owner, now + Millis::new(600)));
+    assert!(health.may_ask(&owner, now + Millis::new(700)));
+    health.missed(&owner, now + Millis::new(700));
+    assert!(!health.may_ask(&owner, now + Millis::new(800)));
+    health.answered(&owner);
+    assert!(health.may_ask(&owner, now + Millis::new(800)));
 }
 
 #[test]
@@ -115,39 +116,39 @@
     assert_eq!(loads.work(&id, until), work(1, 500));
 }
 
-/// Daemons of the data centre, groups there, and requests a second for each group: a
-/// full fleet of 295 daemons in five data centres, at its usual load.
+/// Daemons of the data centre, groups there, and requests per second for each group: a full fleet
+/// of 295 daemons in five data centres, at its usual load.
 const DAEMONS: usize = 59;
 const GROUPS: usize = 9;
 const RATE: f64 = 8.0;
-/// Time between two tellings of one daemon's counts, in milliseconds.
-const TOLD: u64 = 390;
+/// Interval at which one daemon reports its counts, in milliseconds.
+const REPORT_INTERVAL_MS: u64 = 390;
 
-/// Who knows what in a replay.
+/// The daemons that choose the groups of requests in a simulation.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Choosers {
-    /// Each daemon chooses by counts that the others told a while ago.
+enum Chooser {
+    /// Each daemon chooses, by older counts of the others.
     Each,
     /// The owner chooses for all.
     Owner,
 }
 
-/// Sends ten seconds of requests to groups that read one prompt after the other, and
-/// returns how long each prompt waited behind others, in milliseconds, in order.
-fn waits(choosers: Choosers, seed: u64) -> Vec<u64> {
+/// Sends ten seconds of requests to groups that prefill one prompt after the other, and returns how
+/// long each prompt waited behind others, in milliseconds, sorted.
+fn waits(chooser: Chooser, seed: u64) -> Vec<u64> {
     let groups: Vec<Target> = (0..GROUPS).map(|i| leader(&format!("t{i}"))).collect();
     let candidates: Vec<&Target> = groups.iter().collect();
     let (engine, hall, daemons) = (engine(), HallId::from("h"), names(DAEMONS));
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut tables = vec![LoadTable::default(); DAEMONS];
-    // Of each request: its daemon, group, prompt, and when it is read and ends.
+    // For each request: its daemon, group, prompt, the end of its prefill, and its end.
     let mut running: Vec<(usize, usize, u32, u64, u64)> = Vec::new();
     let mut free = [0_u64; GROUPS];
     let mut waits = Vec::new();
     for now in 1..10_000_u64 {
         let at = Millis::new(now);
         for (daemon, group, prompt, read, ends) in &running {
-            let table = if choosers == Choosers::Owner {
+            let table = if chooser == Chooser::Owner {
                 0
             } else {
                 *daemon
@@ -160,8 +161,8 @@
             }
         }
         running.retain(|(.., ends)| *ends > now);
-        if choosers == Choosers::Each {
-            tell_due(&mut tables, &daemons, now);
+        if chooser == Chooser::Each {
+            send_due_counts(&mut tables, &daemons, now);
         }
         if rng.random_range(0.0..1.0) >= RATE * GROUPS as f64 / 1_000.0 {
             continue;
@@ -173,9 +174,9 @@
             prompt,
             hall: &hall,
         };
-        let (table, knowledge) = match choosers {
-            Choosers::Each => (daemon, Knowledge::Old),
-            Choosers::Owner => (0, Knowledge::Exact),
+        let (table, knowledge) = match chooser {
+            Chooser::Each => (daemon, Knowledge::Old),
+            Chooser::Owner => (0, Knowledge::Exact),
         };
         let target = tables[table].pick(&candidates, &wanted, knowledge, at, &mut rng);
         let id = &target.expect("there are groups").id;
@@ -191,11 +192,13 @@
     waits
 }
 
-/// Has the daemons whose turn it is tell all others of their counts.
-fn tell_due(tables: &mut [LoadTable], daemons: &[NodeId], now: u64) {
+/// Sends the counts of the daemons that are due to all others.
+fn send_due_counts(tables: &mut [LoadTable], daemons: &[NodeId], now: u64) {
     let until = Millis::new(now) + Millis::new(1_500);
     for from in 0..tables.len() {
-        if (now + from as u64 * TOLD / DAEMONS as u64).is_multiple_of(TOLD) {
+        if (now + from as u64 * REPORT_INTERVAL_MS / DAEMONS as u64)
+            .is_multiple_of(REPORT_INTERVAL_MS)
+        {
             let counts: HashMap<TargetId, Work> = tables[from].counts().into_iter().collect();
             for (to, table) in tables.iter_mut().enumerate() {
                 if to != from {
@@ -206,13 +209,12 @@
     }
 }
 
-/// Prompts that met at one group made its streams pause: 21 in 100 of all streams were
-/// late on the calmest day of 295 daemons, while targets were busy 57 in 100 of their
-/// time.
+/// Prompts that collided at one group made its streams pause: 21 in 100 of all streams were late on
+/// the calmest day of 295 daemons, while targets were busy 57 in 100 of their time.
 #[test]
 fn prompts_seldom_meet_at_a_group_when_its_owner_places_them() {
     for seed in 1..4 {
-        let (each, owner) = (waits(Choosers::Each, seed), waits(Choosers::Owner, seed));
+        let (each, owner) = (waits(Chooser::Each, seed), waits(Chooser::Owner, seed));
         let part = |waits: &[u64], in_hundred: usize| waits[waits.len() * in_hundred / 100];
         let (before, after) = (part(&each, 95), part(&owner, 95));
         println!("seed {seed}: 95 in 100 waited {before} ms, with an owner {after} ms");
--- a/crates/thistlesill-policy/tests/edge/restarts.rs
+++ b/crates/thistlesill-policy/tests/edge/restarts.rs
@@ -1,4 +1,4 @@
-//! Targets that start again under their id: what is remembered belongs to one life.
+//! Tests of targets that restart under the same instance id: state belongs to one incarnation.
 
 use thistlesill_core::Millis;
 use thistlesill_core::edge::{GroupRef, Incarnation, MemberState, Order, Target, TargetId};
@@ -11,11 +11,11 @@
 use crate::stage::{Fate, STEP, Stage};
 
 const NOW: Millis = Millis::new(1_000_000);
-const BORN: Incarnation = Incarnation::new(1_790_000_000_000);
-/// Its clock jumped back before this start.
-const AGAIN: Incarnation = Incarnation::new(1_789_999_000_000);
+const FIRST: Incarnation = Incarnation::new(1_790_000_000_000);
+/// The clock of the instance jumped back before this start.
+const RESTARTED: Incarnation = Incarnation::new(1_789_999_000_000);
 
-fn life(instance: &str, incarnation: Incarnation) -> TargetId {
+fn target_id(instance: &str, incarnation: Incarnation) -> TargetId {
     TargetId::new(instance.into(), incarnation)
 }
 
@@ -23,7 +23,7 @@
     let mut book = TargetBook::default();
     book.store_answered(NOW);
     book.apply(
-        vec![listed(life("a", BORN)), listed(life("b", BORN))],
+        vec![listed(target_id("a", FIRST)), listed(target_id("b", FIRST))],
         None,
         NOW,
     );
@@ -38,9 +38,12 @@
 #[test]
 fn the_later_listing_of_an_instance_replaces_the_earlier_one() {
     let mut book = book();
-    book.apply(vec![listed(life("a", AGAIN))], None, NOW);
-    assert_eq!(serving(&book), [life("a", AGAIN), life("b", BORN)]);
-    assert!(book.knows(&life("a", AGAIN)) && !book.knows(&life("a", BORN)));
+    book.apply(vec![listed(target_id("a", RESTARTED))], None, NOW);
+    assert_eq!(
+        serving(&book),
+        [target_id("a", RESTARTED), target_id("b", FIRST)]
+    );
+    assert!(book.knows(&target_id("a", RESTARTED)) && !book.knows(&target_id("a", FIRST)));
     assert_eq!(book.count(), 2);
 }
 
@@ -51,30 +54,42 @@
     let back = NOW + Millis::new(9_000);
     book.store_answered(back);
     book.apply(vec![Listing::Gone("a".into())], None, back);
-    assert!(book.knows(&life("a", BORN)), "it may have lapsed only");
-    book.apply(vec![listed(life("a", AGAIN))], None, back);
-    assert_eq!(serving(&book), [life("a", AGAIN), life("b", BORN)]);
-    assert!(!book.expire(None, back + RELIST), "the new life is listed");
+    assert!(
+        book.knows(&target_id("a", FIRST)),
+        "the entry may only have expired"
+    );
+    book.apply(vec![listed(target_id("a", RESTARTED))], None, back);
+    assert_eq!(
+        serving(&book),
+        [target_id("a", RESTARTED), target_id("b", FIRST)]
+    );
+    assert!(
+        !book.expire(None, back + RELIST),
+        "the new incarnation is listed"
+    );
     assert_eq!(book.count(), 2);
 }
 
 #[test]
 fn a_whole_read_brings_the_lives_that_it_lists() {
     let mut book = book();
-    let all = vec![listed(life("a", AGAIN)), Listing::Unusable("b".into())];
+    let all = vec![
+        listed(target_id("a", RESTARTED)),
+        Listing::Unusable("b".into()),
+    ];
     book.replace(all, None, NOW);
-    assert_eq!(serving(&book), [life("a", AGAIN)]);
+    assert_eq!(serving(&book), [target_id("a", RESTARTED)]);
 }
 
 #[test]
 fn an_entry_that_cannot_be_used_ends_what_it_replaced_at_once() {
     let mut book = book();
-    // Not kept like one that lapses just after the store came back.
+    // Unlike an entry that expires just after the store came back, this one is not kept.
     book.apply(vec![Listing::Unusable("a".into())], None, NOW);
-    assert_eq!(serving(&book), [life("b", BORN)]);
+    assert_eq!(serving(&book), [target_id("b", FIRST)]);
     assert_eq!(book.life(&"a".into()), None);
-    book.apply(vec![listed(life("a", BORN))], None, NOW);
-    assert_eq!(book.count(), 2, "its target wrote itself in again");
+    book.apply(vec![listed(target_id("a", FIRST))], None, NOW);
+    assert_eq!(book.count(), 2, "its target registered again");
 }
 
 #[test]
@@ -82,10 +97,10 @@
     let mut book = book();
     let moved = Target {
         service: "other".into(),
-        ..target(life("a", BORN))
+        ..target(target_id("a", FIRST))
     };
     book.apply(vec![Listing::Listed(Box::new(moved))], None, NOW);
-    assert_eq!(serving(&book), [life("b", BORN)]);
+    assert_eq!(serving(&book), [target_id("b", FIRST)]);
     assert_eq!(book.serving(&"other".into(), None).len(), 1);
 }
 
@@ -104,29 +119,36 @@
     let mut feed = Feed::default();
     feed.restart(10);
     let mut book = book();
-    // The second start comes first, and the first one also from a peer that lags.
-    let late = batch(11, 12, vec![change(12, life("a", AGAIN))]);
-    let early = batch(10, 11, vec![change(11, life("a", Incarnation::new(7)))]);
-    let mut take = |first: Option<Batch>, feed: &mut Feed| {
+    // The second start arrives before the first one, which arrives again from a peer that lags.
+    let late = batch(11, 12, vec![change(12, target_id("a", RESTARTED))]);
+    let early = batch(
+        10,
+        11,
+        vec![change(11, target_id("a", Incarnation::new(7)))],
+    );
+    let mut apply_from = |first: Option<Batch>, feed: &mut Feed| {
         let mut next = first;
         while let Some(batch) = next {
-            let fresh = feed.unknown(batch.list);
-            feed.extend(&fresh, batch.after);
-            book.apply(fresh.into_iter().map(|c| c.what).collect(), None, NOW);
+            let new_changes = feed.unknown(batch.list);
+            feed.extend(&new_changes, batch.after);
+            book.apply(new_changes.into_iter().map(|c| c.what).collect(), None, NOW);
             next = feed.next_held();
         }
     };
     for batch in [late.clone(), early.clone(), late, early] {
         let first = feed.order(batch);
-        take(first, &mut feed);
+        apply_from(first, &mut feed);
     }
-    assert_eq!(serving(&book), [life("a", AGAIN), life("b", BORN)]);
+    assert_eq!(
+        serving(&book),
+        [target_id("a", RESTARTED), target_id("b", FIRST)]
+    );
 }
 
 #[test]
 fn load_and_suspicion_stay_with_the_life_that_they_are_of() {
     let mut loads = LoadTable::default();
-    let (old, new) = (life("a", BORN), life("a", AGAIN));
+    let (old, new) = (target_id("a", FIRST), target_id("a", RESTARTED));
     loads.begin(&old, 100);
     loads.suspect(&old, NOW);
     loads.grant(&"peer".into(), &old, 100, NOW + Millis::new(900));
@@ -134,17 +156,20 @@
     assert_eq!(loads.work(&new, NOW), Work::default());
     loads.end(&old);
     loads.retain(|id| *id == new, NOW);
-    assert!(!loads.is_suspect(&old, NOW), "the old life is forgotten");
+    assert!(
+        !loads.is_suspect(&old, NOW),
+        "the old incarnation is forgotten"
+    );
 }
 
 #[test]
 fn an_answer_of_another_life_tells_that_a_member_is_lost() {
-    let known = life("a", BORN);
+    let known = target_id("a", FIRST);
     let of = |answered, pace| Condition::of_answer(&known, answered, pace, 2.5);
-    assert_eq!(of(BORN, 1.0), Condition::Sound);
-    assert_eq!(of(BORN, 3.0), Condition::Slow);
-    assert_eq!(of(AGAIN, 1.0), Condition::Restarted);
-    // Not all platforms tell it.
+    assert_eq!(of(FIRST, 1.0), Condition::Sound);
+    assert_eq!(of(FIRST, 3.0), Condition::Slow);
+    assert_eq!(of(RESTARTED, 1.0), Condition::Restarted);
+    // Not all platforms report the incarnation.
     assert_eq!(of(Incarnation::default(), 1.0), Condition::Sound);
 }
 
@@ -152,7 +177,7 @@
 fn a_group_whose_member_started_again_is_cut_and_replaced_at_once() {
     let mut stage = Stage::formed(6);
     let (leader, members) = stage.group_of(4);
-    stage.engines.restart(&members[2], AGAIN);
+    stage.engines.restart(&members[2], RESTARTED);
     stage.run(STEP);
     assert!(stage.given("cut", &leader).is_some(), "{:?}", stage.orders);
     stage.run(Millis::new(4_000));
@@ -164,11 +189,11 @@
 fn a_leader_that_started_again_leaves_its_members_free() {
     let mut stage = Stage::formed(6);
     let (leader, members) = stage.group_of(4);
-    stage.engines.restart(&leader, AGAIN);
-    // Some daemon has not noticed yet.
+    stage.engines.restart(&leader, RESTARTED);
+    // Some daemon has not noticed the restart yet.
     stage.working.insert(leader.clone());
     stage.run(Millis::new(300));
-    // What its earlier life was told is nothing to the new one.
+    // Orders to the earlier incarnation do not count for the new one.
     assert!(stage.given("cut", &leader).is_none());
     let joins = members[1..].iter();
     let joined = joins.filter(|id| stage.given("join", id).is_some());
@@ -182,15 +207,18 @@
 fn an_instance_waits_for_the_end_of_the_group_of_its_earlier_life() {
     let mut stage = Stage::formed(1);
     let (leader, members) = stage.group_of(2);
-    // Full as it is, its model would have another group of one spare and the instance
-    // that starts again.
+    // Since the group is full, its model would get another group, of one spare and the instance
+    // that restarts.
     stage.requests.insert(leader.clone(), 26);
     stage.demand.insert("small".into(), 3.0);
     let spares = stage.spares();
     stage.engines.kill(&spares[0].id);
     stage.engines.unlist(&spares[0].id);
-    let new = stage.engines.restart(&members[1], AGAIN).expect("known");
-    // The leader hears nothing and serves on.
+    let new = stage
+        .engines
+        .restart(&members[1], RESTARTED)
+        .expect("known");
+    // The leader does not receive its order and continues to serve.
     for _ in 0..40 {
         stage.now = stage.now + STEP;
         stage.engines.advance(stage.now);
@@ -200,10 +228,10 @@
         });
     }
     assert!(stage.engines.serving().iter().any(|(l, _)| *l == leader));
-    let told = |stage: &Stage| stage.orders.iter().any(|(_, id, _)| *id == new);
-    assert!(!told(&stage), "{:?}", stage.orders);
+    let ordered = |stage: &Stage| stage.orders.iter().any(|(_, id, _)| *id == new);
+    assert!(!ordered(&stage), "{:?}", stage.orders);
     stage.run(Millis::new(4_000));
-    assert!(told(&stage), "{:?}", stage.orders);
+    assert!(ordered(&stage), "{:?}", stage.orders);
     stage.assert_sound();
 }
 
@@ -257,8 +285,8 @@
         members: members.clone(),
         orders_taken: 0,
     };
-    let new = stage.engines.restart(&leader, AGAIN).expect("known");
-    // The new life knows no epoch and takes it.
+    let new = stage.engines.restart(&leader, RESTARTED).expect("known");
+    // The new incarnation knows no epoch and accepts the order.
     stage.engines.order(&new, &late, stage.now);
     stage.run(Millis::new(30_000));
     let (large, _) = stage.sizes();
@@ -266,7 +294,7 @@
     let member = stage.engines.listed()[&new].member.clone();
     assert!(
         member.is_none_or(|m| m.of != group || m.state != MemberState::Open),
-        "a group of the earlier life serves again"
+        "a group of the earlier incarnation serves again"
     );
     stage.assert_sound();
 }
@@ -277,7 +305,7 @@
     let (leader, members) = stage.group_of(4);
     let mut other = FleetPlanner::default();
     other.watch(&stage.engines.listed(), stage.now);
-    stage.engines.restart(&members[3], AGAIN);
+    stage.engines.restart(&members[3], RESTARTED);
     other.watch(&stage.engines.listed(), stage.now);
     stage.planner = other;
     stage.term += 1;
@@ -289,15 +317,15 @@
 #[test]
 fn a_whole_read_is_told_as_the_changes_that_it_brings() {
     let mut book = book();
-    let all = vec![listed(life("a", BORN)), listed(life("c", BORN))];
+    let all = vec![listed(target_id("a", FIRST)), listed(target_id("c", FIRST))];
     let changes = book.difference(all.clone());
     assert_eq!(
         changes,
-        [Listing::Gone("b".into()), listed(life("c", BORN))]
+        [Listing::Gone("b".into()), listed(target_id("c", FIRST))]
     );
     book.apply(changes, None, NOW + Millis::new(60_000));
     assert_eq!(book.difference(all), []);
-    // One whose entry may have lapsed only is news when it is listed again.
+    // An entry that may only have expired counts as a change when it is listed again.
     book.store_failed();
     book.store_answered(NOW + Millis::new(90_000));
     book.apply(
@@ -305,6 +333,6 @@
         None,
         NOW + Millis::new(90_100),
     );
-    let again = vec![listed(life("a", BORN)), listed(life("c", BORN))];
-    assert_eq!(book.difference(again), [listed(life("a", BORN))]);
+    let again = vec![listed(target_id("a", FIRST)), listed(target_id("c", FIRST))];
+    assert_eq!(book.difference(again), [listed(target_id("a", FIRST))]);
 }
--- a/crates/thistlesill-policy/tests/edge/spread.rs
+++ b/crates/thistlesill-policy/tests/edge/spread.rs
@@ -1,4 +1,4 @@
-//! What the spread of a change costs in fleets of several sizes.
+//! Tests of the cost of distributing a change in fleets of several sizes.
 
 use std::collections::HashMap;
 
@@ -17,42 +17,43 @@
     (0..daemons).map(daemon).collect()
 }
 
-/// Datagrams that each daemon gets of one change, and how many cross between data centres.
+/// Datagrams that each daemon receives for one change, and how many cross between data centres.
 fn spread(fleet: &[(NodeId, HallId)]) -> (HashMap<NodeId, usize>, usize) {
     let hall_of: HashMap<&NodeId, &HallId> = fleet.iter().map(|(n, h)| (n, h)).collect();
-    let (mut got, mut crossed) = (HashMap::new(), 0);
-    let mut tell = |from: &HallId, to: &NodeId| {
-        *got.entry(to.clone()).or_default() += 1;
+    let (mut received, mut crossed) = (HashMap::new(), 0);
+    let mut send = |from: &HallId, to: &NodeId| {
+        *received.entry(to.clone()).or_default() += 1;
         crossed += usize::from(hall_of[to] != from);
     };
     let reader = &fleet[0].1;
     for hall in (0..HALLS).map(|n| HallId::from(format!("hall-{n}"))) {
         let there = fleet.iter().filter(|(_, h)| *h == hall);
         for (relay, _) in there.take(RELAYS) {
-            tell(reader, relay);
+            send(reader, relay);
             let near = fleet.iter().filter(|(_, h)| is_near(h, &hall));
             let near: Vec<NodeId> = near.map(|(n, _)| n.clone()).collect();
             for (first, rest) in parts(&near) {
-                tell(&hall, first);
+                send(&hall, first);
                 for name in rest {
-                    tell(&hall, name);
+                    send(&hall, name);
                 }
             }
         }
     }
-    (got, crossed)
+    (received, crossed)
 }
 
-/// Of 984 daemons that had the list of all and had heard few of them, each took all others for
-/// daemons of its own data centre: 25 MB a daemon in 56 s, half of it between data centres.
+/// Each of 984 daemons that had the list of all daemons but heartbeats from only a few considered
+/// all others part of its own data centre: 25 MB per daemon in 56 s, half of it between data
+/// centres.
 #[test]
 fn each_daemon_hears_a_change_from_the_relays_of_its_data_centre_only() {
     for daemons in [100, 300, 984, 2_000] {
         assert!(has_relays(daemons));
         let fleet = fleet(daemons);
-        let (got, crossed) = spread(&fleet);
-        assert_eq!(got.len(), daemons, "all of {daemons} hear of it");
-        let most = got.values().max().copied().unwrap_or(0);
+        let (received, crossed) = spread(&fleet);
+        assert_eq!(received.len(), daemons, "all of {daemons} receive it");
+        let most = received.values().max().copied().unwrap_or(0);
         assert!(most <= RELAYS + 1, "{daemons}: {most} datagrams at one");
         assert!(crossed <= RELAYS * HALLS, "{daemons}: {crossed} cross");
     }
@@ -74,11 +75,11 @@
     assert_eq!(
         well_connected(&unknown).len(),
         4,
-        "none is known to bear less"
+        "none is known to have less bandwidth"
     );
 }
 
-/// Two that asked each other would both wait until their proofs were old.
+/// Two delegates that asked each other would both wait until their proofs were too old.
 #[test]
 fn delegates_ask_the_reader_and_all_others_ask_delegates() {
     let names: Vec<NodeId> = (0..200)
--- a/crates/thistlesill-policy/tests/quarantine.rs
+++ b/crates/thistlesill-policy/tests/quarantine.rs
@@ -1,4 +1,5 @@
-//! Requests that end the targets which run them are withheld; all others are not.
+//! Tests that requests which crash the targets that run them are withheld, and that all others are
+//! not.
 
 use quickcheck::quickcheck;
 use thistlesill_core::edge::TargetId;
@@ -19,7 +20,7 @@
     START + Millis::new(ms)
 }
 
-/// What is known after targets were lost under a request, a tenth of a second apart.
+/// The state after targets were lost under a request, a tenth of a second apart.
 fn lost(
     print: Fingerprint,
     targets: std::ops::Range<u32>,
@@ -58,7 +59,7 @@
 #[test]
 fn what_ran_beside_it_and_ends_well_elsewhere_is_free_again() {
     let (fatal, mut known) = (print(0), Quarantine::default());
-    // Twenty others at the first target, three of which meet it at the second one again.
+    // Twenty others at the first target, three of which meet the fatal one again at the second.
     for other in 0..=20 {
         known.note_lost(print(other), &target(0), START);
     }
@@ -70,7 +71,7 @@
     }
     assert!(known.note_lost(fatal, &target(2), after(1_000)).is_some());
     for other in 1..=20 {
-        // A later loss of another kind starts from nothing.
+        // A later loss for another reason starts from zero.
         assert_eq!(
             known.note_lost(print(other), &target(9), after(2_000)),
             None
@@ -87,13 +88,13 @@
     while now < hour {
         now = now + Millis::new(100);
         match known.standing(print(1), now) {
-            Standing::Free => panic!("it is free although it ended {sent} targets"),
+            Standing::Free => panic!("it is free although it crashed {sent} targets"),
             Standing::Trial => {
                 sent += 1;
                 assert!(known.begin_trial(print(1), now).is_some());
                 assert!(matches!(known.standing(print(1), now), Standing::Tried(_)));
                 let verdict = known.note_lost(print(1), &target(sent), now);
-                assert!(verdict.is_some(), "the trial ended a target");
+                assert!(verdict.is_some(), "the trial crashed a target");
             }
             Standing::Withheld(_) | Standing::Tried(_) => {}
         }
@@ -117,17 +118,19 @@
         there.standing(print(1), later),
         Standing::Tried(_)
     ));
-    let good = here.note_good(print(1), later).expect("that is news");
+    let good = here
+        .note_good(print(1), later)
+        .expect("a verdict is returned");
     assert!(there.receive(good, later));
     for known in [&here, &there] {
         assert_eq!(known.standing(print(1), later), Standing::Free);
     }
-    // A daemon that was apart and tells the old verdict changes nothing.
+    // A daemon that was disconnected and broadcasts the old verdict changes nothing.
     assert!(!there.receive(verdict.expect("it was withheld"), later));
     assert_eq!(here.digest(), there.digest());
 }
 
-/// Where a model has one group only, all who ask for it meet the fatal request each time.
+/// Where a model has only one group, all requests for it meet the fatal request each time.
 #[test]
 fn trials_follow_each_other_and_the_one_that_ends_a_target_clears_the_others() {
     let mut known = Quarantine::default();
@@ -200,7 +203,9 @@
 fn a_good_end_of_one_that_was_never_withheld_clears_it_at_peers_and_is_not_kept() {
     let (mut here, _) = lost(print(1), 0..2);
     let (mut there, _) = lost(print(1), 0..2);
-    let good = here.note_good(print(1), after(500)).expect("that is news");
+    let good = here
+        .note_good(print(1), after(500))
+        .expect("a verdict is returned");
     assert!(there.receive(good, after(500)));
     assert!(here.is_empty() && there.is_empty());
 }
@@ -225,27 +230,27 @@
 }
 
 quickcheck! {
-    /// Whatever daemons decide and in whichever order they hear of it, they come to know
-    /// the same.
+    /// Whatever daemons decide and in whichever order they receive the verdicts, they reach the
+    /// same state.
     fn daemons_that_hear_each_other_come_to_agree(steps: Vec<(u8, u8, u8)>) -> bool {
         let mut daemons = vec![Quarantine::default(); 3];
         let mut now = START;
-        for (daemon, request, what) in steps {
+        for (daemon, request, event) in steps {
             now = now + Millis::new(700);
             let print = print(u32::from(request % 3));
             let known = &mut daemons[usize::from(daemon % 3)];
             let is_trial = known.standing(print, now) == Standing::Trial;
-            let _ = match what % 8 {
+            let _ = match event % 8 {
                 0 => known.note_good(print, now),
                 1 if is_trial => known.begin_trial(print, now),
-                _ => known.note_lost(print, &target(u32::from(what)), now),
+                _ => known.note_lost(print, &target(u32::from(event)), now),
             };
         }
         for _ in 0..3 {
             for from in 0..3 {
-                let told = daemons[from].verdicts(now);
+                let broadcast = daemons[from].verdicts(now);
                 for to in &mut daemons {
-                    for verdict in &told {
+                    for verdict in &broadcast {
                         to.receive(*verdict, now);
                     }
                 }
@@ -255,7 +260,7 @@
     }
 }
 
-/// What two daemons know after three targets were lost under each of some requests.
+/// The state of two daemons after three targets were lost under each of some requests.
 fn two_that_saw_both_lost(
     requests: &[Fingerprint],
 ) -> (Quarantine<TargetId>, Quarantine<TargetId>) {
@@ -268,9 +273,9 @@
     (known.clone(), known)
 }
 
-/// Two daemons each began the trial of another request at the same moment, before either had
-/// heard of the other's. One of the two ended its target with both on it, and the other one
-/// was withheld for two minutes as if it had:
+/// Two daemons each began the trial of a different request at the same time, before either had
+/// received the other's verdict. One of the two requests crashed its target with both on it, and
+/// the other one was withheld for two minutes as if it had:
 ///
 /// ```text
 /// edge-0 ev=withheld_tried id=beside-2-16 print=2c65…    (at 5.20 s)
@@ -287,7 +292,7 @@
     assert_eq!(b.standing(fatal, tried), Standing::Trial);
     let by_a = a.begin_trial(beside, tried).expect("it is withheld");
     let by_b = b.begin_trial(fatal, tried).expect("it is withheld");
-    // Each hears of the other's trial some milliseconds later.
+    // Each daemon receives the other's trial some milliseconds later.
     a.receive(by_b, after(1_303));
     b.receive(by_a, after(1_303));
     let ended = after(1_320);
@@ -307,7 +312,7 @@
     assert!(left <= Millis::new(15_000), "withheld for {left}");
 }
 
-/// What one daemon broadcasts of its trial, in this order.
+/// Messages that one daemon broadcasts about its trial, in this order.
 struct Broadcast {
     trial: Verdict,
     lost: Fingerprint,
@@ -327,9 +332,9 @@
     }
 }
 
-/// The same, whichever of the other daemon's messages arrive before a daemon sees its own
-/// trial end the target: the one request is withheld for long after a trial of its own, and
-/// the other one is served.
+/// The same, whichever of the other daemon's messages arrive before a daemon sees its own trial
+/// crash the target: the fatal request is withheld for long after a trial of its own, and the other
+/// one is served.
 #[test]
 fn two_trials_at_once_are_told_apart_by_further_ones_however_late_daemons_hear_of_them() {
     for early in 0..=3 {
@@ -354,7 +359,7 @@
         by_b.verdict = b.note_lost(fatal, &target(9), now);
         by_a.deliver(&mut b, early..3, now);
         by_b.deliver(&mut a, 0..3, now);
-        // Daemons whose digests differ ask each other for their verdicts.
+        // Daemons whose digests differ request each other's verdicts.
         for _ in 0..2 {
             for verdict in a.verdicts(now) {
                 b.receive(verdict, now);
