--- a/crates/thistlesill-policy/src/edge/book.rs
+++ b/crates/thistlesill-policy/src/edge/book.rs
@@ -24,7 +24,7 @@
     /// they are removed.
     expired: HashMap<InstanceId, Millis>,
     /// Since when the store has answered without interruption.
-    answering_since: Option<Millis>,
+    store_up_since: Option<Millis>,
     /// Data centres whose targets get no requests.
     evacuated: BTreeSet<HallId>,
     /// Version of the catalog that the index was built with.
@@ -68,22 +68,22 @@
 impl TargetBook {
     /// Records that the store answered.
     pub fn store_answered(&mut self, now: Millis) {
-        self.answering_since.get_or_insert(now);
+        self.store_up_since.get_or_insert(now);
     }
 
     /// Records that the store did not answer.
     pub const fn store_failed(&mut self) {
-        self.answering_since = None;
+        self.store_up_since = None;
     }
 
     /// Sets the time since which the store has answered, as reported by another daemon.
     pub const fn store_steady(&mut self, since: Millis) {
-        self.answering_since = Some(since);
+        self.store_up_since = Some(since);
     }
 
     /// Returns how long the store has answered without interruption; `None` if it does not answer.
     pub fn steady_for(&self, now: Millis) -> Option<Millis> {
-        self.answering_since.map(|since| now - since)
+        self.store_up_since.map(|since| now - since)
     }
 
     /// Applies changes of entries.
@@ -138,7 +138,7 @@
         let due: Vec<InstanceId> = self
             .expired
             .iter()
-            .filter(|(_, until)| **until <= now && self.answering_since.is_some())
+            .filter(|(_, until)| **until <= now && self.store_up_since.is_some())
             .map(|(instance, _)| instance.clone())
             .collect();
         for instance in &due {
@@ -269,11 +269,11 @@
     }
 
     fn expire_entry(&mut self, instance: InstanceId, now: Millis) {
-        let answering_since = self.answering_since.unwrap_or(now);
-        if now - answering_since >= RELIST {
+        let store_up_since = self.store_up_since.unwrap_or(now);
+        if now - store_up_since >= RELIST {
             self.drop_instance(&instance);
         } else if self.incarnations.contains_key(&instance) {
-            self.expired.insert(instance, answering_since + RELIST);
+            self.expired.insert(instance, store_up_since + RELIST);
         }
     }
 
--- a/crates/thistlesill-policy/src/edge/load.rs
+++ b/crates/thistlesill-policy/src/edge/load.rs
@@ -91,7 +91,7 @@
 
 impl TargetLoad {
     /// Records that the target sent something.
-    const fn hear(&mut self, now: Millis) {
+    const fn note_activity(&mut self, now: Millis) {
         self.progress = now;
         self.suspect = Millis::ZERO;
     }
@@ -154,7 +154,7 @@
     /// Records that a target sent something, and resets its count of refusals.
     pub fn note_progress(&mut self, id: &TargetId, now: Millis) {
         let load = self.entry(id);
-        load.hear(now);
+        load.note_activity(now);
         load.refusals = 0;
     }
 
@@ -212,7 +212,7 @@
     pub fn note_refused(&mut self, id: &TargetId, now: Millis) {
         let load = self.entry(id);
         let doubled = load.refusals.min(MAX_BACKOFF_DOUBLINGS);
-        load.hear(now);
+        load.note_activity(now);
         load.refusals += 1;
         load.full_until = now + Millis::new(REFUSAL_BACKOFF.get() << doubled);
     }
