--- a/crates/thistlesill-edge/src/daemon.rs
+++ b/crates/thistlesill-edge/src/daemon.rs
@@ -14,7 +14,7 @@
 use thistlesill_platform::Malformed;
 use thistlesill_platform::settings::{decode_settings, settings_path};
 use thistlesill_policy::charts::Charts;
-use thistlesill_policy::edge::admission::BALANCER;
+use thistlesill_policy::edge::admission::BALANCER_DETECTION;
 use tokio::net::TcpListener;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::task::LocalSet;
@@ -269,12 +269,12 @@
         return false;
     };
     let gone = edge.now() - since;
-    if gone >= BALANCER {
+    if gone >= BALANCER_DETECTION {
         // No new callers come; connections without a request end.
         edge.stop.notify_waiters();
     }
     let done = edge.active.get() == 0 && !edge.plans.get();
-    gone >= edge.grace() || (done && gone >= BALANCER + CLOSE)
+    gone >= edge.grace() || (done && gone >= BALANCER_DETECTION + CLOSE)
 }
 
 /// Takes in a changed settings file; a bad one changes nothing.
@@ -350,7 +350,9 @@
         edge.fleet_news.notify_one();
     }
     let book = edge.book.borrow();
-    edge.loads.borrow_mut().retain(|id| book.knows(id), now);
+    edge.loads
+        .borrow_mut()
+        .retain(|id| book.is_current(id), now);
     limits::sweep(edge);
     edge.lines.flush();
 }
--- a/crates/thistlesill-edge/src/evacuation.rs
+++ b/crates/thistlesill-edge/src/evacuation.rs
@@ -2,7 +2,7 @@
 
 use thistlesill_core::edge::Evacuations;
 use thistlesill_platform::store::{Content, Rows, evacuated_hall};
-use thistlesill_policy::edge::evacuation::{EvacuationChange, EvacuationTable, ListedHall};
+use thistlesill_policy::edge::evacuation::{EvacuationChange, EvacuationTable, HallEntry};
 
 use crate::limits;
 use crate::state::Edge;
@@ -13,13 +13,13 @@
         let hall = evacuated_hall(&row.key)?;
         // Whatever a row holds, the operators wrote it.
         let evacuated = row.value != Content::Gone;
-        Some(ListedHall { hall, evacuated })
+        Some(HallEntry { hall, evacuated })
     });
-    let listed: Vec<ListedHall> = listed.collect();
+    let listed: Vec<HallEntry> = listed.collect();
     let changes = {
         let mut table = edge.evacuations.borrow_mut();
         if whole {
-            table.replace(EvacuationTable::whole(&listed, rows.version))
+            table.replace(EvacuationTable::snapshot(&listed, rows.version))
         } else {
             table.apply(&listed, rows.version)
         }
--- a/crates/thistlesill-edge/src/flight.rs
+++ b/crates/thistlesill-edge/src/flight.rs
@@ -33,7 +33,10 @@
     pub(crate) fn begun(&mut self) {
         let unread = std::mem::take(&mut self.unread);
         if unread > 0 {
-            self.edge.loads.borrow_mut().read(&self.target, unread);
+            self.edge
+                .loads
+                .borrow_mut()
+                .end_prefill(&self.target, unread);
             place::tell_counts(&self.edge, &self.scope);
         }
     }
@@ -44,7 +47,7 @@
         let edge = &self.edge;
         {
             let mut loads = edge.loads.borrow_mut();
-            loads.read(&self.target, std::mem::take(&mut self.unread));
+            loads.end_prefill(&self.target, std::mem::take(&mut self.unread));
             loads.end(&self.target);
         }
         place::tell_counts(edge, &self.scope);
--- a/crates/thistlesill-edge/src/follow.rs
+++ b/crates/thistlesill-edge/src/follow.rs
@@ -295,7 +295,7 @@
     mut rest: &[Change],
     after: u64,
 ) {
-    let steady = edge.book.borrow().steady_for(edge.now());
+    let steady = edge.book.borrow().store_uptime(edge.now());
     loop {
         let (part, later) = rest.split_at(rest.len().min(MAX_TOLD));
         let last = part.last().map_or(after, |c| c.version);
@@ -304,8 +304,8 @@
             batch: Batch {
                 before,
                 after: until,
-                list: part.to_vec(),
-                steady,
+                changes: part.to_vec(),
+                store_uptime: steady,
             },
             from: edge.settings().name.clone(),
             pass: pass.clone(),
@@ -321,7 +321,7 @@
 /// Whom this daemon tells of changes, and whom those pass them on to.
 fn receivers(edge: &Edge) -> (Vec<NodeId>, Pass) {
     let (peers, now) = (edge.peers.borrow(), edge.now());
-    if !spread::has_relays(peers.most()) {
+    if !spread::uses_relays(peers.most()) {
         return (peers.living(now), Pass::Nobody);
     }
     let rng = &mut *edge.rng.borrow_mut();
@@ -374,16 +374,16 @@
         return;
     }
     let from = news.from.clone();
-    let mut next = edge.feed.borrow_mut().order(news.batch);
+    let mut next = edge.feed.borrow_mut().accept(news.batch);
     while let Some(batch) = next {
         take_next(edge, batch);
         next = edge.feed.borrow_mut().next_held();
     }
-    let reached = edge.feed.borrow_mut().reached();
+    let reached = edge.feed.borrow_mut().resolve_claims();
     if let Some(at) = reached {
         edge.confirm_targets(at);
     }
-    let held = edge.feed.borrow().held();
+    let held = edge.feed.borrow().newest_held();
     if let Some(newest) = held {
         ask_if_it_lasts(edge, &from, newest);
     }
@@ -392,12 +392,12 @@
 /// Takes in changes that follow those that are known.
 fn take_next(edge: &Edge, batch: Batch) {
     let now = edge.now();
-    if let Some(steady) = batch.steady {
-        edge.book.borrow_mut().store_steady(now - steady);
+    if let Some(steady) = batch.store_uptime {
+        edge.book.borrow_mut().set_store_up_since(now - steady);
     }
-    let fresh = edge.feed.borrow().unknown(batch.list);
+    let fresh = edge.feed.borrow().unknown(batch.changes);
     edge.feed.borrow_mut().extend(&fresh, batch.after);
-    watch::apply(edge, fresh.into_iter().map(|c| c.what).collect());
+    watch::apply(edge, fresh.into_iter().map(|c| c.entry).collect());
 }
 
 /// Passes changes on; who gets them may ask this daemon for what it misses.
--- a/crates/thistlesill-edge/src/job.rs
+++ b/crates/thistlesill-edge/src/job.rs
@@ -12,8 +12,8 @@
 use thistlesill_core::{Fingerprint, Millis};
 use thistlesill_net::lane::Lane;
 use thistlesill_platform::caller::{self, CallerHead, TargetHead};
-use thistlesill_policy::edge::admission::Passage;
-use thistlesill_policy::edge::asked::Asked;
+use thistlesill_policy::edge::admission::Admission;
+use thistlesill_policy::edge::asked::DemandSample;
 
 use crate::lanes::most_idle;
 use crate::peers::place;
@@ -27,7 +27,7 @@
 /// A request that passed, and all that is needed to send it.
 pub(crate) struct Job {
     pub(crate) edge: Rc<Edge>,
-    pub(crate) passage: Passage,
+    pub(crate) passage: Admission,
     pub(crate) head: CallerHead,
     pub(crate) method: Method,
     pub(crate) uri: Uri,
@@ -52,9 +52,9 @@
 
 impl Job {
     /// A request that may pass.
-    pub(crate) fn new(edge: Rc<Edge>, passage: Passage, arrival: Arrival) -> Self {
+    pub(crate) fn new(edge: Rc<Edge>, passage: Admission, arrival: Arrival) -> Self {
         Self {
-            due: arrival.at + passage.limit,
+            due: arrival.at + passage.timeout,
             headers: caller::forwarded(&arrival.parts.headers),
             edge,
             passage,
@@ -98,7 +98,7 @@
         let (Some(engine), Some(model)) = (&service.engine, &self.head.model) else {
             return;
         };
-        let asked = Asked {
+        let asked = DemandSample {
             engine,
             model,
             prompt: self.prompt(),
@@ -109,7 +109,7 @@
         self.edge
             .asked
             .borrow_mut()
-            .note(&service.name, &asked, now);
+            .record(&service.name, &asked, now);
     }
 
     /// What tells whether the same request came before.
--- a/crates/thistlesill-edge/src/limits.rs
+++ b/crates/thistlesill-edge/src/limits.rs
@@ -13,7 +13,7 @@
 use thistlesill_core::{HallId, Millis, NodeId};
 use thistlesill_platform::caller::{AnswerHead, LimitHeader};
 use thistlesill_policy::edge::limit::{
-    Clearance, Grant, Heard, LimitReport, LimitTable, ToldLimit,
+    Clearance, Grant, LimitChange, LimitReport, LimitTable, LimitUpdate,
 };
 use thistlesill_policy::edge::owner::Scope;
 use tokio::sync::Notify;
@@ -58,7 +58,7 @@
 
     /// Whether a target may not be sent a request now.
     pub(crate) fn is_spent(&self, id: &TargetId, now: Millis) -> bool {
-        self.table.borrow().is_spent(id, now)
+        self.table.borrow().is_exhausted(id, now)
     }
 
     /// The targets that name a limit, with it.
@@ -70,7 +70,7 @@
 
     /// The targets that may not be sent a request now.
     pub(crate) fn spent(&self, now: Millis) -> Vec<TargetId> {
-        self.table.borrow().spent(now)
+        self.table.borrow().exhausted(now)
     }
 
     /// The shortest time until one of some targets may be sent a request.
@@ -102,7 +102,7 @@
         until: edge.now(),
     };
     let heard = take_report(edge, &target.id, report, &job.head.id);
-    if matches!(heard, Heard::News(_)) {
+    if matches!(heard, LimitChange::Changed(_)) {
         let mut untold = edge.limits.untold.borrow_mut();
         untold.insert(target.id.clone());
         edge.limits.news.notify_one();
@@ -127,9 +127,9 @@
 }
 
 /// Takes in a report; `from` is the request or the daemon that it came from.
-fn take_report(edge: &Edge, target: &TargetId, report: LimitReport, from: &str) -> Heard {
-    let heard = edge.limits.table.borrow_mut().hear(target, report);
-    if let Heard::News(before) = heard {
+fn take_report(edge: &Edge, target: &TargetId, report: LimitReport, from: &str) -> LimitChange {
+    let heard = edge.limits.table.borrow_mut().observe(target, report);
+    if let LimitChange::Changed(before) = heard {
         edge.lines
             .line("limit_heard")
             .with("target", target)
@@ -227,12 +227,15 @@
     let asked = edge.now();
     let wait = match grant(edge, target).await {
         Grant::Unlimited | Grant::Granted => return Some(Clearance::granted(asked)),
-        Grant::Spent(wait) => wait.max(Millis::new(1)),
-        Grant::NotKept => UNKEPT,
+        Grant::Exhausted(wait) => wait.max(Millis::new(1)),
+        Grant::NotOwner => UNKEPT,
     };
     metrics::counter!("thistlesill_edge_limit_denied_total").increment(1);
     let until = edge.now() + wait;
-    edge.limits.table.borrow_mut().note_spent(&target.id, until);
+    edge.limits
+        .table
+        .borrow_mut()
+        .note_exhausted(&target.id, until);
     None
 }
 
@@ -240,7 +243,7 @@
 /// may have taken long to come up, or the daemon may have been frozen with the grant in hand.
 pub(crate) fn is_cleared(edge: &Edge, target: &Target, clearance: Clearance) -> bool {
     let now = edge.now();
-    let holds = clearance.holds(edge.limits.is_limited(&target.id, now), now);
+    let holds = clearance.is_valid(edge.limits.is_limited(&target.id, now), now);
     if !holds {
         metrics::counter!("thistlesill_edge_grants_expired_total").increment(1);
     }
@@ -250,7 +253,7 @@
 /// Takes a grant, or asks the target's keeper for one.
 async fn grant(edge: &Edge, target: &Target) -> Grant {
     let Some(keeper) = keeper(edge, target) else {
-        return Grant::NotKept;
+        return Grant::NotOwner;
     };
     let me = edge.settings().name.clone();
     if keeper == me {
@@ -258,7 +261,7 @@
         return edge.limits.take(&target.id, edge.now());
     }
     let (id, answer) = edge.limits.questions.borrow_mut().begin();
-    let known = edge.limits.table.borrow().told(&target.id, edge.now());
+    let known = edge.limits.table.borrow().update(&target.id, edge.now());
     let ask = GrantAsk {
         from: me,
         id,
@@ -267,7 +270,7 @@
     };
     link::tell(edge, &keeper, &Packet::AskGrant(ask));
     let Some(reply) = questions::in_time(answer).await else {
-        return Grant::NotKept;
+        return Grant::NotOwner;
     };
     if let Some(told) = &reply.known {
         take_report(
@@ -295,7 +298,7 @@
         from: edge.settings().name.clone(),
         id: ask.id,
         grant,
-        known: edge.limits.table.borrow().told(&ask.target, now),
+        known: edge.limits.table.borrow().update(&ask.target, now),
     };
     link::tell(edge, &ask.from, &Packet::Grant(reply));
 }
@@ -312,8 +315,8 @@
     let mut newer = Vec::new();
     for limit in &told.list {
         let heard = take_report(edge, &limit.target, limit.report(now), told.from.as_str());
-        if heard == Heard::Outdated {
-            newer.extend(edge.limits.table.borrow().told(&limit.target, now));
+        if heard == LimitChange::Outdated {
+            newer.extend(edge.limits.table.borrow().update(&limit.target, now));
         }
     }
     if !newer.is_empty() {
@@ -324,7 +327,7 @@
 
 /// Tells a daemon that was not known of the limits that this one keeps.
 pub(crate) fn tell_new_peer(edge: &Edge, peer: &NodeId) {
-    let kept = edge.limits.table.borrow().told_kept(edge.now());
+    let kept = edge.limits.table.borrow().owned_updates(edge.now());
     for part in kept.chunks(MAX_TOLD) {
         link::tell(edge, peer, &packet(edge, part.to_vec()));
     }
@@ -341,13 +344,16 @@
         tokio::time::sleep(GATHER).await;
         let now = edge.now();
         let untold = std::mem::take(&mut *edge.limits.untold.borrow_mut());
-        let mut list: Vec<ToldLimit> = {
+        let mut list: Vec<LimitUpdate> = {
             let table = edge.limits.table.borrow();
-            untold.iter().filter_map(|id| table.told(id, now)).collect()
+            untold
+                .iter()
+                .filter_map(|id| table.update(id, now))
+                .collect()
         };
         if now - told >= TELL {
             told = now;
-            list.extend(edge.limits.table.borrow().told_kept(now));
+            list.extend(edge.limits.table.borrow().owned_updates(now));
         }
         for part in list.chunks(MAX_TOLD) {
             link::tell_peers(&edge, &packet(&edge, part.to_vec()), Reach::All);
@@ -355,7 +361,7 @@
     }
 }
 
-fn packet(edge: &Edge, list: Vec<ToldLimit>) -> Packet {
+fn packet(edge: &Edge, list: Vec<LimitUpdate>) -> Packet {
     let from = edge.settings().name.clone();
     Packet::Limits(ToldLimits { from, list })
 }
@@ -368,9 +374,9 @@
     if kept {
         let peers = edge.peers.borrow();
         let part = (peers.heard(now) + 1) as f64 / peers.most() as f64;
-        table.keep(&target.id, part, now);
+        table.own(&target.id, part, now);
     } else {
-        table.leave(&target.id);
+        table.disown(&target.id);
     }
 }
 
@@ -380,7 +386,7 @@
     edge.limits.questions.borrow_mut().tidy();
     let book = edge.book.borrow();
     let mut unreadable = edge.limits.unreadable.borrow_mut();
-    unreadable.retain(|id| book.knows(id));
+    unreadable.retain(|id| book.is_current(id));
     if edge.limits.table.borrow().is_empty() {
         return;
     }
@@ -392,5 +398,5 @@
         tend(edge, target);
     }
     let mut table = edge.limits.table.borrow_mut();
-    table.retain(|id| book.knows(id), edge.now());
+    table.retain(|id| book.is_current(id), edge.now());
 }
--- a/crates/thistlesill-edge/src/peers/link.rs
+++ b/crates/thistlesill-edge/src/peers/link.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use thistlesill_core::{Millis, NodeId};
-use thistlesill_policy::edge::beats::{BeatGaps, BeatSchedule, DueBeat};
+use thistlesill_policy::edge::beats::{DueHeartbeat, HeartbeatIntervals, HeartbeatSchedule};
 use tokio::net::UdpSocket;
 
 use super::packet::{AskedWork, Beat, Packet, StoreUse};
@@ -34,16 +34,16 @@
 /// Sends and takes in datagrams, for ever.
 pub(crate) async fn run(edge: Rc<Edge>) {
     tokio::task::spawn_local(listen(edge.clone()));
-    let mut schedule = BeatSchedule::new(edge.now());
+    let mut schedule = HeartbeatSchedule::new(edge.now());
     loop {
         let listed = edge.peers.borrow().is_listed();
         match schedule.next(&gaps(&edge), listed, edge.now()) {
-            DueBeat::All => tell_beat(&edge, Reach::All),
-            DueBeat::Near => tell_beat(&edge, Reach::Near),
-            DueBeat::Planner => tell_far_planner(&edge),
-            DueBeat::Asked => tell_asked(&edge),
+            DueHeartbeat::All => tell_beat(&edge, Reach::All),
+            DueHeartbeat::Near => tell_beat(&edge, Reach::Near),
+            DueHeartbeat::Planner => tell_far_planner(&edge),
+            DueHeartbeat::Demand => tell_asked(&edge),
             // The gaps change with the requests, the list and the lease.
-            DueBeat::Wait(until) => {
+            DueHeartbeat::Wait(until) => {
                 let look = edge.now() + IDLE_BEAT;
                 edge.alarm.until(until.min(look)).await;
             }
@@ -52,12 +52,12 @@
 }
 
 /// The times between two beats.
-fn gaps(edge: &Edge) -> BeatGaps {
+fn gaps(edge: &Edge) -> HeartbeatIntervals {
     let peers = edge.peers.borrow();
     let near = peers.near_gap(&edge.settings().hall);
     let idle = edge.active.get() == 0;
     let all = peers.far_gap();
-    BeatGaps {
+    HeartbeatIntervals {
         near: if idle { IDLE_BEAT.max(near) } else { near },
         all: if edge.plans.get() {
             all.min(PLANNER_BEAT)
@@ -65,7 +65,7 @@
             all
         },
         planner: peers.planner_gap(),
-        asked: peers.asked_gap(),
+        demand: peers.asked_gap(),
     }
 }
 
@@ -135,7 +135,7 @@
         owns: place::may_own(edge, now),
         counts: loads.counts(),
         suspects: loads.suspects(now),
-        going_on: loads.going_on(now),
+        going_on: loads.suspects_with_streams(now),
         slow: loads.slow(now),
         lease: peers.shown.clone(),
         dead: peers.dead.clone(),
@@ -253,9 +253,11 @@
     }
     let counts = beat.counts.into_iter().collect();
     let until = now + edge.trust();
-    edge.loads.borrow_mut().hear(&beat.from, counts, until);
+    edge.loads
+        .borrow_mut()
+        .set_peer_counts(&beat.from, counts, until);
     for target in &beat.dead {
-        if edge.book.borrow().knows(target) {
+        if edge.book.borrow().is_current(target) {
             edge.suspect(target, "it answered no probe of the planner");
         }
     }
--- a/crates/thistlesill-edge/src/peers/packet.rs
+++ b/crates/thistlesill-edge/src/peers/packet.rs
@@ -4,7 +4,7 @@
 use thistlesill_core::edge::{Evacuations, GroupRef, TargetId};
 use thistlesill_core::{Fingerprint, HallId, Millis, Model, NodeId, ServiceName, Verdict};
 use thistlesill_policy::edge::feed::Batch;
-use thistlesill_policy::edge::limit::{Grant, ToldLimit};
+use thistlesill_policy::edge::limit::{Grant, LimitUpdate};
 use thistlesill_policy::edge::load::Work;
 use thistlesill_policy::lease::LeaseSeen;
 
@@ -172,7 +172,7 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct ToldLimits {
     pub(crate) from: NodeId,
-    pub(crate) list: Vec<ToldLimit>,
+    pub(crate) list: Vec<LimitUpdate>,
 }
 
 /// Asks a target's keeper whether a request may be sent there.
@@ -183,7 +183,7 @@
     pub(crate) id: u64,
     pub(crate) target: TargetId,
     /// What the asker knows of the target's limit.
-    pub(crate) known: Option<ToldLimit>,
+    pub(crate) known: Option<LimitUpdate>,
 }
 
 /// What a keeper decided.
@@ -194,7 +194,7 @@
     pub(crate) id: u64,
     pub(crate) grant: Grant,
     /// What the keeper knows of the target's limit.
-    pub(crate) known: Option<ToldLimit>,
+    pub(crate) known: Option<LimitUpdate>,
 }
 
 /// A daemon's requests by target.
--- a/crates/thistlesill-edge/src/peers/place.rs
+++ b/crates/thistlesill-edge/src/peers/place.rs
@@ -13,7 +13,7 @@
 use thistlesill_core::{HallId, Millis, NodeId};
 use thistlesill_policy::edge::limit::{Clearance, Grant};
 use thistlesill_policy::edge::load::{Knowledge, Work};
-use thistlesill_policy::edge::owner::{Answering, Scope};
+use thistlesill_policy::edge::owner::{OwnerHealth, Scope};
 
 use super::packet::{Counts, Packet, Permit, PlaceAsk, PlaceReply, Placed, Totals};
 use super::questions::{self, Questions};
@@ -40,7 +40,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Placing {
     questions: Questions<Placed>,
-    answering: Answering,
+    answering: OwnerHealth,
     /// Owners as they were computed a moment ago.
     owners: HashMap<Scope, Option<NodeId>>,
 }
@@ -122,7 +122,7 @@
     {
         return (choice, permit, PlacedBy::Owner);
     }
-    let choice = edge.pick(asking, Knowledge::Old);
+    let choice = edge.pick(asking, Knowledge::Stale);
     (choice, Permit::NotNeeded, PlacedBy::Alone)
 }
 
@@ -225,11 +225,11 @@
         Choice::Target(target) => {
             let until = edge.now() + edge.trust();
             let mut loads = edge.loads.borrow_mut();
-            loads.grant(&ask.from, &target.id, ask.prompt, until);
+            loads.add_granted(&ask.from, &target.id, ask.prompt, until);
             let permit = match edge.limits.take(&target.id, edge.now()) {
                 Grant::Unlimited => Permit::NotNeeded,
                 Grant::Granted => Permit::Given,
-                Grant::NotKept | Grant::Spent(_) => Permit::Needed,
+                Grant::NotOwner | Grant::Exhausted(_) => Permit::Needed,
             };
             Placed::At(target.id.clone(), permit)
         }
@@ -271,7 +271,9 @@
 pub(crate) fn hear_counts(edge: &Edge, counts: Counts) {
     let until = edge.now() + edge.trust();
     let list = counts.counts.into_iter().collect();
-    edge.loads.borrow_mut().hear(&counts.from, list, until);
+    edge.loads
+        .borrow_mut()
+        .set_peer_counts(&counts.from, list, until);
 }
 
 /// Takes in what an owner told of the work at its targets.
@@ -279,7 +281,7 @@
     let until = edge.now() + BELIEVE;
     let mut loads = edge.loads.borrow_mut();
     for (id, work) in totals.list {
-        loads.hear_total(id, work, until);
+        loads.set_total(id, work, until);
     }
 }
 
--- a/crates/thistlesill-edge/src/peers/transfer.rs
+++ b/crates/thistlesill-edge/src/peers/transfer.rs
@@ -344,7 +344,7 @@
         packed: pack_known(edge)?,
         proof: edge.fresh.get().age(now),
         age: edge.targets_age(),
-        steady: edge.book.borrow().steady_for(now),
+        steady: edge.book.borrow().store_uptime(now),
         evacuated: edge.evacuations.borrow().known().clone(),
     })
 }
--- a/crates/thistlesill-edge/src/planner.rs
+++ b/crates/thistlesill-edge/src/planner.rs
@@ -13,7 +13,7 @@
 use thistlesill_net::lane::within;
 use thistlesill_platform::engine;
 use thistlesill_policy::charts::{Charts, LeaseState};
-use thistlesill_policy::edge::admission::BALANCER;
+use thistlesill_policy::edge::admission::BALANCER_DETECTION;
 use thistlesill_policy::edge::fleet::{
     Condition, Demand, FleetAction, FleetPlanner, FleetView, room,
 };
@@ -95,7 +95,7 @@
     /// Whether the daemon was told to stop and will soon end.
     fn must_end(&self) -> bool {
         let stopping = self.edge.stopping.get();
-        stopping.is_some_and(|since| self.edge.now() - since >= BALANCER)
+        stopping.is_some_and(|since| self.edge.now() - since >= BALANCER_DETECTION)
     }
 
     /// Gives the lease up, so that another daemon need not wait for its end.
@@ -225,7 +225,7 @@
         let mut fleets = self.fleets.borrow_mut();
         let mut late = Some(Vec::new());
         for service in catalog.services().filter(|s| s.engine.is_some()) {
-            let Some(targets) = book.of(&service.name) else {
+            let Some(targets) = book.of_service(&service.name) else {
                 continue;
             };
             let fleet = fleets.entry(service.name.clone()).or_default();
@@ -257,7 +257,8 @@
         let book = edge.book.borrow();
         let (mut dead, mut late) = (Vec::new(), Some(Vec::new()));
         for service in catalog.services() {
-            let (Some(engine), Some(targets)) = (&service.engine, book.of(&service.name)) else {
+            let (Some(engine), Some(targets)) = (&service.engine, book.of_service(&service.name))
+            else {
                 continue;
             };
             let mut fleets = self.fleets.borrow_mut();
@@ -355,7 +356,7 @@
         let asked = self.edge.asked.borrow();
         let room = |(id, limit): (TargetId, RateLimit)| {
             let model = targets.get(&id)?.model()?;
-            let each = asked.each(service, model)?;
+            let each = asked.work_per_request(service, model)?;
             Some((id, room(limit, each)))
         };
         let limits = self.edge.limits.limits();
@@ -385,7 +386,7 @@
         let own = loads.counts().into_iter().map(|(id, _)| id);
         let own = own.filter(|id| !loads.is_suspect(id, now));
         let mut working: HashSet<TargetId> = own.collect();
-        working.extend(loads.going_on(now));
+        working.extend(loads.suspects_with_streams(now));
         let hall = &self.edge.settings().hall;
         working.extend(self.edge.peers.borrow().working(hall, now));
         working
--- a/crates/thistlesill-edge/src/proxy.rs
+++ b/crates/thistlesill-edge/src/proxy.rs
@@ -13,8 +13,8 @@
 use thistlesill_core::{ErrorKind, Millis};
 use thistlesill_net::lane::within;
 use thistlesill_platform::caller::{self, CallerHead, KeyHeader};
-use thistlesill_policy::edge::admission::{self, Key, Passage, admit};
-use thistlesill_policy::edge::attempt::{Attempts, Next, Outcome, after};
+use thistlesill_policy::edge::admission::{self, Admission, Key, admit};
+use thistlesill_policy::edge::attempt::{Attempts, NextStep, Outcome, next_step};
 use tokio::time::timeout_at;
 
 use crate::attempt::{Answered, Failure, Turn, attempt};
@@ -57,7 +57,7 @@
         Err(kind) => return track.refuse(kind, None),
     };
     track.admitted(&passage);
-    if !fits_stop(&edge, passage.limit) {
+    if !fits_stop(&edge, passage.timeout) {
         let why = "the daemon stops before it would end";
         return track.because(why).refuse(ErrorKind::NotReady, None);
     }
@@ -76,7 +76,7 @@
 fn fits_stop(edge: &Edge, limit: Millis) -> bool {
     edge.stopping.get().is_none_or(|since| {
         let gone = edge.now() - since;
-        admission::may_still_take(gone, limit, edge.grace())
+        admission::accepts_while_stopping(gone, limit, edge.grace())
     })
 }
 
@@ -96,10 +96,10 @@
     }
 }
 
-fn pass(edge: &Edge, parts: &Parts, head: &CallerHead) -> Result<Passage, ErrorKind> {
+fn pass(edge: &Edge, parts: &Parts, head: &CallerHead) -> Result<Admission, ErrorKind> {
     let named = parts.headers.get(HOST).and_then(|h| h.to_str().ok());
     let host = named.or_else(|| parts.uri.host()).unwrap_or_default();
-    let asking = admission::Asking {
+    let asking = admission::AdmissionRequest {
         host,
         path: parts.uri.path(),
         key: match &head.key {
@@ -181,12 +181,12 @@
         };
         let next = settle(&job, &target, &failure, &mut attempts, &track);
         match next {
-            Next::Again => {}
-            Next::Deliver => match failure.answer {
+            NextStep::Retry => {}
+            NextStep::Forward => match failure.answer {
                 Some(answer) => return hand_on(&job, *answer, &mut track).await,
                 None => return track.refuse(ErrorKind::SentUnknown, None),
             },
-            Next::Fail(kind) => return track.refuse(kind, None),
+            NextStep::Fail(kind) => return track.refuse(kind, None),
         }
     }
 }
@@ -210,11 +210,11 @@
     failure: &Failure,
     attempts: &mut Attempts,
     track: &Track,
-) -> Next {
+) -> NextStep {
     let service = &job.passage.service.name;
     let allowed = job.passage.route.attempts;
     let spend = || job.edge.spend_retry(service);
-    let next = after(failure.outcome, attempts, job.may_repeat(), allowed, spend);
+    let next = next_step(failure.outcome, attempts, job.may_repeat(), allowed, spend);
     track.attempt_failed(target, failure.outcome, &failure.why, next);
     next
 }
--- a/crates/thistlesill-edge/src/quarantine.rs
+++ b/crates/thistlesill-edge/src/quarantine.rs
@@ -14,7 +14,7 @@
 use thistlesill_core::table::{Row, Txn};
 use thistlesill_core::{Fingerprint, Millis, NodeId, Verdict};
 use thistlesill_net::clock::Clock;
-use thistlesill_policy::quarantine::{Quarantine, Standing};
+use thistlesill_policy::quarantine::{Quarantine, QuarantineStatus};
 use tokio::sync::Notify;
 
 use crate::job::Job;
@@ -109,12 +109,12 @@
         return None;
     }
     let (print, now) = (job.print(), edge.now());
-    let standing = edge.cases.known.borrow().standing(print, now);
+    let standing = edge.cases.known.borrow().status(print, now);
     match standing {
-        Standing::Free => None,
-        Standing::Tried(_) if job.trial.get() => None,
-        Standing::Tried(left) | Standing::Withheld(left) => Some(left),
-        Standing::Trial => {
+        QuarantineStatus::Free => None,
+        QuarantineStatus::Tried(_) if job.trial.get() => None,
+        QuarantineStatus::Tried(left) | QuarantineStatus::Withheld(left) => Some(left),
+        QuarantineStatus::Trial => {
             job.trial.set(true);
             let verdict = edge.cases.known.borrow_mut().begin_trial(print, now);
             let line = edge.lines.line("withheld_tried").with("id", &job.head.id);
@@ -178,7 +178,7 @@
     }
     let verdict = {
         let mut known = edge.cases.known.borrow_mut();
-        known.note_good(job.print(), edge.now())
+        known.note_success(job.print(), edge.now())
     };
     let Some(verdict) = verdict else {
         return;
--- a/crates/thistlesill-edge/src/relay.rs
+++ b/crates/thistlesill-edge/src/relay.rs
@@ -16,7 +16,7 @@
 use thistlesill_core::{ErrorKind, Millis};
 use thistlesill_net::lane::Lane;
 use thistlesill_platform::caller;
-use thistlesill_policy::edge::attempt::{Attempts, Next, Outcome, after};
+use thistlesill_policy::edge::attempt::{Attempts, NextStep, Outcome, next_step};
 
 use self::cutter::Cutter;
 pub(crate) use self::passing::pass_on;
@@ -54,7 +54,7 @@
         let due = {
             let loads = job.edge.loads.borrow();
             let seen = loads.progress(&target.id).max(start);
-            let usual = engine.map(|e| loads.patience(target, e, job.edge.now()));
+            let usual = engine.map(|e| loads.stall_timeout(target, e, job.edge.now()));
             seen + usual.map_or(least, |usual| usual.max(least))
         };
         if due <= job.edge.now() {
@@ -315,7 +315,7 @@
                 Err(failure) => {
                     let attempts = &mut self.attempts;
                     let next = settle(&job, &target, &failure, attempts, &self.track);
-                    again = next == Next::Again;
+                    again = next == NextStep::Retry;
                 }
             }
         }
@@ -334,7 +334,7 @@
         let spend = || job.edge.spend_retry(&job.passage.service.name);
         let allowed = job.passage.route.attempts;
         let outcome = Outcome::MayHaveRun;
-        after(outcome, &mut attempts, job.may_repeat(), allowed, spend) == Next::Again
+        next_step(outcome, &mut attempts, job.may_repeat(), allowed, spend) == NextStep::Retry
     }
 
     fn finish(&mut self) -> Option<Bytes> {
--- a/crates/thistlesill-edge/src/start.rs
+++ b/crates/thistlesill-edge/src/start.rs
@@ -169,7 +169,9 @@
     evacuation::replace(edge, state.evacuated.clone());
     let is_news = watch::put_targets(edge, known.targets, known.version);
     if let Some(steady) = state.steady.filter(|_| is_news) {
-        edge.book.borrow_mut().store_steady(edge.now() - steady);
+        edge.book
+            .borrow_mut()
+            .set_store_up_since(edge.now() - steady);
     }
     if let Some(age) = state.age.filter(|_| is_news) {
         edge.confirm_targets(asked - age);
--- a/crates/thistlesill-edge/src/state.rs
+++ b/crates/thistlesill-edge/src/state.rs
@@ -15,12 +15,12 @@
 use thistlesill_net::clock::{Alarm, Clock};
 use thistlesill_platform::store::Store;
 use thistlesill_policy::budget::RetryBudget;
-use thistlesill_policy::edge::asked::AskedMeter;
-use thistlesill_policy::edge::book::TargetBook;
+use thistlesill_policy::edge::asked::DemandMeter;
+use thistlesill_policy::edge::book::TargetRegistry;
 use thistlesill_policy::edge::evacuation::EvacuationTable;
 use thistlesill_policy::edge::freshness::Freshness;
 use thistlesill_policy::edge::limit::Clearance;
-use thistlesill_policy::edge::load::{Knowledge, LoadTable, Wanted};
+use thistlesill_policy::edge::load::{Knowledge, LoadTable, PickRequest};
 use tokio::sync::Notify;
 
 use crate::lanes::Lanes;
@@ -86,7 +86,7 @@
     }
 
     /// The targets that serve it and that it was not sent to.
-    fn untried<'a>(&'a self, book: &'a TargetBook) -> impl Iterator<Item = &'a Target> {
+    fn untried<'a>(&'a self, book: &'a TargetRegistry) -> impl Iterator<Item = &'a Target> {
         let serving = book.serving(&self.service.name, self.served_model());
         let serving = serving.iter().map(AsRef::as_ref);
         serving.filter(|t| !self.tried.contains(&t.id))
@@ -174,12 +174,12 @@
     /// When this daemon last asked the store itself for what it then knew of the
     /// targets.
     pub(crate) targets_read: Cell<Option<Millis>>,
-    pub(crate) book: RefCell<TargetBook>,
+    pub(crate) book: RefCell<TargetRegistry>,
     /// Data centres whose targets get no requests.
     pub(crate) evacuations: RefCell<EvacuationTable>,
     pub(crate) loads: RefCell<LoadTable>,
     /// The work that callers ask this daemon for.
-    pub(crate) asked: RefCell<AskedMeter>,
+    pub(crate) asked: RefCell<DemandMeter>,
     pub(crate) peers: RefCell<Peers>,
     pub(crate) placing: RefCell<Placing>,
     /// What was sent to peers.
@@ -259,10 +259,10 @@
             fresh: Cell::new(Freshness::default()),
             targets_fresh: Cell::new(Freshness::default()),
             targets_read: Cell::new(None),
-            book: RefCell::new(TargetBook::default()),
+            book: RefCell::new(TargetRegistry::default()),
             evacuations: RefCell::new(EvacuationTable::default()),
             loads: RefCell::new(LoadTable::default()),
-            asked: RefCell::new(AskedMeter::default()),
+            asked: RefCell::new(DemandMeter::default()),
             lanes: Lanes::default(),
             lines: Lines::start(),
             rng: RefCell::new(SmallRng::seed_from_u64(rand::random())),
@@ -394,7 +394,7 @@
             return true;
         };
         let now = self.now();
-        let alone = now - self.started < BLIND && !loads.hears_peers();
+        let alone = now - self.started < BLIND && !loads.has_peer_counts();
         let book = self.book.borrow();
         let serving = book.serving(&service.name, model);
         let serving = serving.iter().map(AsRef::as_ref);
@@ -416,14 +416,14 @@
         }
         untried.retain(|t| !self.limits.is_spent(&t.id, now));
         let settings = self.settings();
-        let wanted = Wanted {
+        let wanted = PickRequest {
             engine: service.engine.as_ref(),
             prompt: asking.prompt,
             hall: &settings.hall,
         };
         let loads = self.loads.borrow();
         if asking.first
-            && let Some(late) = loads.overload(&untried, &wanted, asking.aim, now)
+            && let Some(late) = loads.lateness(&untried, &wanted, asking.aim, now)
         {
             return Choice::Overloaded(late);
         }
--- a/crates/thistlesill-edge/src/track.rs
+++ b/crates/thistlesill-edge/src/track.rs
@@ -6,8 +6,8 @@
 use hyper::Response;
 use thistlesill_core::edge::{Target, TargetId};
 use thistlesill_core::{ErrorKind, Fingerprint, Millis};
-use thistlesill_policy::edge::admission::Passage;
-use thistlesill_policy::edge::attempt::{Next, Outcome};
+use thistlesill_policy::edge::admission::Admission;
+use thistlesill_policy::edge::attempt::{NextStep, Outcome};
 use thistlesill_policy::edge::load::Work;
 
 use crate::relay::Pause;
@@ -106,7 +106,7 @@
     }
 
     /// Notes that the request may pass.
-    pub(crate) fn admitted(&mut self, passage: &Passage) {
+    pub(crate) fn admitted(&mut self, passage: &Admission) {
         self.route = Some(Rc::from(&*passage.route.name));
         self.version = Some(passage.version);
         self.aim = Some(passage.route.aim);
@@ -155,13 +155,19 @@
     }
 
     /// Notes an attempt that brought no answer to hand on.
-    pub(crate) fn attempt_failed(&self, target: &Target, outcome: Outcome, why: &str, next: Next) {
+    pub(crate) fn attempt_failed(
+        &self,
+        target: &Target,
+        outcome: Outcome,
+        why: &str,
+        next: NextStep,
+    ) {
         metrics::counter!("thistlesill_edge_attempts_failed_total", "outcome" => outcome.name())
             .increment(1);
         let next = match next {
-            Next::Again => "again".to_owned(),
-            Next::Deliver => "deliver".to_owned(),
-            Next::Fail(kind) => format!("fail:{kind}"),
+            NextStep::Retry => "again".to_owned(),
+            NextStep::Forward => "deliver".to_owned(),
+            NextStep::Fail(kind) => format!("fail:{kind}"),
         };
         self.edge
             .lines
--- a/crates/thistlesill-edge/src/watch/targets.rs
+++ b/crates/thistlesill-edge/src/watch/targets.rs
@@ -107,7 +107,7 @@
 fn take_targets(edge: &Edge, rows: &Rows, whole: bool) -> bool {
     let changes: Vec<Change> = rows.rows.iter().map(|row| decode(edge, row)).collect();
     if whole {
-        let listings = changes.into_iter().map(|c| c.what).collect();
+        let listings = changes.into_iter().map(|c| c.entry).collect();
         return put_all(edge, listings, rows.version);
     }
     let before = edge.feed.borrow().version();
@@ -118,7 +118,7 @@
         if follow::reads_for_others(edge) {
             follow::tell_changes(edge, before, &changes, rows.version);
         }
-        apply(edge, changes.into_iter().map(|c| c.what).collect());
+        apply(edge, changes.into_iter().map(|c| c.entry).collect());
     }
     true
 }
@@ -143,12 +143,15 @@
         let changes = edge.book.borrow().difference(listings);
         let changes: Vec<Change> = changes
             .into_iter()
-            .map(|what| Change { version, what })
+            .map(|what| Change {
+                version,
+                entry: what,
+            })
             .collect();
         // Begun anew, what is kept for others would begin here, and whoever lags by some
         // tenths of a second would read all targets as well.
         edge.feed.borrow_mut().extend(&changes, version);
-        apply(edge, changes.into_iter().map(|c| c.what).collect());
+        apply(edge, changes.into_iter().map(|c| c.entry).collect());
         return true;
     }
     edge.feed.borrow_mut().restart(version);
@@ -201,7 +204,7 @@
     };
     Change {
         version: row.version,
-        what,
+        entry: what,
     }
 }
 
@@ -216,7 +219,7 @@
 
 /// Writes a line about a target that is used no longer, since its entry cannot be.
 fn note_unusable(edge: &Edge, instance: &InstanceId) {
-    if edge.book.borrow().life(instance).is_some() {
+    if edge.book.borrow().incarnation(instance).is_some() {
         edge.lines
             .line("target_unusable")
             .with("target", instance)
@@ -227,7 +230,7 @@
 /// Writes a line about a target's change if it changes who takes requests.
 fn note_target(edge: &Edge, target: &Target) {
     let book = edge.book.borrow();
-    if let Some(life) = book.life(target.id.instance())
+    if let Some(life) = book.incarnation(target.id.instance())
         && life.is_other_incarnation_of(&target.id)
     {
         edge.lines
@@ -237,7 +240,9 @@
             .with("now", target.id.incarnation())
             .write();
     }
-    let old = book.of(&target.service).and_then(|t| t.get(&target.id));
+    let old = book
+        .of_service(&target.service)
+        .and_then(|t| t.get(&target.id));
     let leads = target.is_open_leader();
     if old.is_some_and(|old| old.is_open_leader() == leads && old.leaving == target.leaving) {
         return;
--- a/crates/thistlesill-policy/src/edge/admission.rs
+++ b/crates/thistlesill-policy/src/edge/admission.rs
@@ -21,7 +21,7 @@
 
 /// The parts of a request that decide on its admission.
 #[derive(Debug, Clone, Copy)]
-pub struct Asking<'a> {
+pub struct AdmissionRequest<'a> {
     /// Host that the caller addressed.
     pub host: &'a str,
     /// Path of the request.
@@ -34,7 +34,7 @@
 
 /// An admitted request.
 #[derive(Debug, Clone)]
-pub struct Passage {
+pub struct Admission {
     /// Version of the catalog that admitted the request.
     pub version: u64,
     /// Route that matches host and path.
@@ -46,7 +46,7 @@
     /// Priority of the request; 0 is the highest.
     pub priority: u8,
     /// Time until the request must have its final answer.
-    pub limit: Millis,
+    pub timeout: Millis,
 }
 
 /// Decides whether a request is admitted.
@@ -58,10 +58,10 @@
     catalog: Option<&Catalog>,
     fresh: &Freshness,
     bounds: &Bounds,
-    asking: &Asking<'_>,
+    asking: &AdmissionRequest<'_>,
     now: Millis,
     rng: &mut impl rand::Rng,
-) -> Result<Passage, ErrorKind> {
+) -> Result<Admission, ErrorKind> {
     let catalog = catalog.ok_or(ErrorKind::NotReady)?;
     let route = catalog
         .route(asking.host, asking.path)
@@ -81,19 +81,19 @@
     }
     let service = draw_service(catalog, route, rng).ok_or(ErrorKind::NoGroup)?;
     let limit = asking.deadline.unwrap_or(route.timeout).min(route.timeout);
-    Ok(Passage {
+    Ok(Admission {
         version: catalog.version,
         route: route.clone(),
         service,
         customer,
         priority,
-        limit,
+        timeout: limit,
     })
 }
 
 /// Time in which the balancer notices that a stopping daemon accepts no new callers: it asks once a
 /// second and acts on the second such answer.
-pub const BALANCER: Millis = Millis::new(2_600);
+pub const BALANCER_DETECTION: Millis = Millis::new(2_600);
 
 /// Returns whether a daemon that began to stop `gone` ago still accepts a request that may last for
 /// `limit`, where the daemon must exit within `grace`.
@@ -102,8 +102,8 @@
 /// the balancer has no other daemon, and a request that does not end within `grace` would be cut
 /// off.
 #[must_use]
-pub fn may_still_take(gone: Millis, limit: Millis, grace: Millis) -> bool {
-    gone < BALANCER || gone + limit < grace
+pub fn accepts_while_stopping(gone: Millis, limit: Millis, grace: Millis) -> bool {
+    gone < BALANCER_DETECTION || gone + limit < grace
 }
 
 /// Draws one of the route's services by weight.
--- a/crates/thistlesill-policy/src/edge/asked.rs
+++ b/crates/thistlesill-policy/src/edge/asked.rs
@@ -20,7 +20,7 @@
 
 /// The properties of a request that determine how much work it is.
 #[derive(Debug, Clone, Copy)]
-pub struct Asked<'a> {
+pub struct DemandSample<'a> {
     /// Engines of the service.
     pub engine: &'a Engine,
     /// Model that was requested.
@@ -33,7 +33,7 @@
     pub refused: bool,
 }
 
-impl Asked<'_> {
+impl DemandSample<'_> {
     /// Returns the weight with which the request counts.
     const fn weight(&self) -> f64 {
         if self.refused { REFUSED_WEIGHT } else { 1.0 }
@@ -77,15 +77,15 @@
 
 /// Measures the demand that arrives at one daemon.
 #[derive(Debug, Clone, Default)]
-pub struct AskedMeter {
+pub struct DemandMeter {
     averages: BTreeMap<(ServiceName, Model), Average>,
     /// When the first request arrived.
     started_at: Option<Millis>,
 }
 
-impl AskedMeter {
+impl DemandMeter {
     /// Records a request that arrived, whether or not it was refused.
-    pub fn note(&mut self, service: &ServiceName, asked: &Asked<'_>, now: Millis) {
+    pub fn record(&mut self, service: &ServiceName, asked: &DemandSample<'_>, now: Millis) {
         let Some(work) = asked.work() else { return };
         self.started_at.get_or_insert(now);
         let key = (service.clone(), asked.model.clone());
@@ -97,7 +97,7 @@
 
     /// Returns the average time of a group that one request of a model takes up, in milliseconds;
     /// `None` if there was no request.
-    pub fn each(&self, service: &ServiceName, model: &Model) -> Option<f64> {
+    pub fn work_per_request(&self, service: &ServiceName, model: &Model) -> Option<f64> {
         let average = self.averages.get(&(service.clone(), model.clone()))?;
         (average.requests > 0.0).then(|| average.sum / average.requests)
     }
--- a/crates/thistlesill-policy/src/edge/attempt.rs
+++ b/crates/thistlesill-policy/src/edge/attempt.rs
@@ -46,11 +46,11 @@
 
 /// The step that follows an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Next {
+pub enum NextStep {
     /// Try another target.
-    Again,
+    Retry,
     /// Pass the target's failure on to the caller.
-    Deliver,
+    Forward,
     /// Answer the caller with an error.
     Fail(ErrorKind),
 }
@@ -60,13 +60,13 @@
 /// `repeatable` says whether the request may run more than once, and `allowed` to how many targets
 /// it may be sent. `take_retry` takes a retry out of the retry budget and returns whether there was one
 /// left.
-pub fn after(
+pub fn next_step(
     outcome: Outcome,
     attempts: &mut Attempts,
     repeatable: bool,
     allowed: u32,
     take_retry: impl FnOnce() -> bool,
-) -> Next {
+) -> NextStep {
     match outcome {
         Outcome::NotSent => attempts.unsent += 1,
         Outcome::NotRun => attempts.sent += 1,
@@ -84,13 +84,13 @@
         Outcome::Late => false,
     };
     if again {
-        return Next::Again;
+        return NextStep::Retry;
     }
     match outcome {
-        Outcome::Failed => Next::Deliver,
-        Outcome::Late => Next::Fail(ErrorKind::LateAnswer),
-        _ if attempts.may_have_run => Next::Fail(ErrorKind::SentUnknown),
-        Outcome::NotSent | Outcome::NotRun => Next::Fail(ErrorKind::TargetRefused),
-        Outcome::MayHaveRun => Next::Fail(ErrorKind::SentUnknown),
+        Outcome::Failed => NextStep::Forward,
+        Outcome::Late => NextStep::Fail(ErrorKind::LateAnswer),
+        _ if attempts.may_have_run => NextStep::Fail(ErrorKind::SentUnknown),
+        Outcome::NotSent | Outcome::NotRun => NextStep::Fail(ErrorKind::TargetRefused),
+        Outcome::MayHaveRun => NextStep::Fail(ErrorKind::SentUnknown),
     }
 }
--- a/crates/thistlesill-policy/src/edge/beats.rs
+++ b/crates/thistlesill-policy/src/edge/beats.rs
@@ -10,7 +10,7 @@
 
 /// Intervals between two heartbeats.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct BeatGaps {
+pub struct HeartbeatIntervals {
     /// For heartbeats to the peers of the own data centre.
     pub near: Millis,
     /// For heartbeats to all peers.
@@ -18,12 +18,12 @@
     /// For heartbeats to the daemon that forms groups.
     pub planner: Millis,
     /// For reports of the demand.
-    pub asked: Millis,
+    pub demand: Millis,
 }
 
 /// The message that is due.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum DueBeat {
+pub enum DueHeartbeat {
     /// A heartbeat to all peers.
     All,
     /// A heartbeat to the peers of the own data centre.
@@ -31,21 +31,21 @@
     /// A heartbeat to the daemon that forms groups, if that is in another data centre.
     Planner,
     /// A report of the demand.
-    Asked,
+    Demand,
     /// None is due before this time.
     Wait(Millis),
 }
 
 /// Times of the last message of each kind.
 #[derive(Debug, Clone)]
-pub struct BeatSchedule {
+pub struct HeartbeatSchedule {
     near: Millis,
     all: Option<Millis>,
     planner: Millis,
     asked: Millis,
 }
 
-impl BeatSchedule {
+impl HeartbeatSchedule {
     /// Creates a schedule that begins with one interval of waiting.
     #[must_use]
     pub const fn new(now: Millis) -> Self {
@@ -59,26 +59,26 @@
 
     /// Returns the message that is due, and counts that message as sent. Heartbeats to all peers
     /// are due only once the list of peers is available (`listed`).
-    pub fn next(&mut self, gaps: &BeatGaps, listed: bool, now: Millis) -> DueBeat {
+    pub fn next(&mut self, gaps: &HeartbeatIntervals, listed: bool, now: Millis) -> DueHeartbeat {
         let all = self.all.map_or(now, |at| at + gaps.all);
         if listed && now >= all {
             (self.all, self.near, self.planner) = (Some(now), now, now);
-            return DueBeat::All;
+            return DueHeartbeat::All;
         }
         if now >= self.near + gaps.near {
             self.near = now;
-            return DueBeat::Near;
+            return DueHeartbeat::Near;
         }
         if now >= self.planner + gaps.planner {
             self.planner = now;
-            return DueBeat::Planner;
+            return DueHeartbeat::Planner;
         }
-        if now >= self.asked + gaps.asked {
+        if now >= self.asked + gaps.demand {
             self.asked = now;
-            return DueBeat::Asked;
+            return DueHeartbeat::Demand;
         }
         let next = (self.near + gaps.near).min(self.planner + gaps.planner);
-        let next = next.min(self.asked + gaps.asked);
-        DueBeat::Wait(if listed { next.min(all) } else { next })
+        let next = next.min(self.asked + gaps.demand);
+        DueHeartbeat::Wait(if listed { next.min(all) } else { next })
     }
 }
--- a/crates/thistlesill-policy/src/edge/book.rs
+++ b/crates/thistlesill-policy/src/edge/book.rs
@@ -12,11 +12,11 @@
 use thistlesill_core::{HallId, InstanceId, Millis, Model, ServiceName};
 
 /// Time in which running targets register again after the store came back.
-pub const RELIST: Millis = Millis::new(2_300);
+pub const RELIST_GRACE: Millis = Millis::new(2_300);
 
 /// All known targets.
 #[derive(Debug, Clone, Default)]
-pub struct TargetBook {
+pub struct TargetRegistry {
     targets: HashMap<ServiceName, HashMap<TargetId, Target>>,
     /// Incarnation under which each instance was last listed.
     incarnations: HashMap<InstanceId, Incarnation>,
@@ -65,7 +65,7 @@
     }
 }
 
-impl TargetBook {
+impl TargetRegistry {
     /// Records that the store answered.
     pub fn store_answered(&mut self, now: Millis) {
         self.store_up_since.get_or_insert(now);
@@ -77,12 +77,12 @@
     }
 
     /// Sets the time since which the store has answered, as reported by another daemon.
-    pub const fn store_steady(&mut self, since: Millis) {
+    pub const fn set_store_up_since(&mut self, since: Millis) {
         self.store_up_since = Some(since);
     }
 
     /// Returns how long the store has answered without interruption; `None` if it does not answer.
-    pub fn steady_for(&self, now: Millis) -> Option<Millis> {
+    pub fn store_uptime(&self, now: Millis) -> Option<Millis> {
         self.store_up_since.map(|since| now - since)
     }
 
@@ -220,7 +220,7 @@
     }
 
     /// Returns all known targets of a service.
-    pub fn of(&self, service: &ServiceName) -> Option<&HashMap<TargetId, Target>> {
+    pub fn of_service(&self, service: &ServiceName) -> Option<&HashMap<TargetId, Target>> {
         self.targets.get(service)
     }
 
@@ -231,8 +231,8 @@
     }
 
     /// Returns whether `id` is the current incarnation of its target.
-    pub fn knows(&self, id: &TargetId) -> bool {
-        self.life(id.instance()) == Some(id)
+    pub fn is_current(&self, id: &TargetId) -> bool {
+        self.incarnation(id.instance()) == Some(id)
     }
 
     /// Returns the targets that the store lists, without those that are only kept because their
@@ -248,7 +248,7 @@
     }
 
     /// Returns the id of the current incarnation of an instance's target.
-    pub fn life(&self, instance: &InstanceId) -> Option<&TargetId> {
+    pub fn incarnation(&self, instance: &InstanceId) -> Option<&TargetId> {
         self.incarnations
             .get(instance)
             .map(|incarnation| &incarnation.id)
@@ -270,10 +270,10 @@
 
     fn expire_entry(&mut self, instance: InstanceId, now: Millis) {
         let store_up_since = self.store_up_since.unwrap_or(now);
-        if now - store_up_since >= RELIST {
+        if now - store_up_since >= RELIST_GRACE {
             self.drop_instance(&instance);
         } else if self.incarnations.contains_key(&instance) {
-            self.expired.insert(instance, store_up_since + RELIST);
+            self.expired.insert(instance, store_up_since + RELIST_GRACE);
         }
     }
 
--- a/crates/thistlesill-policy/src/edge/evacuation.rs
+++ b/crates/thistlesill-policy/src/edge/evacuation.rs
@@ -21,7 +21,7 @@
 
 /// A changed entry of the operators' list in the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ListedHall {
+pub struct HallEntry {
     /// Data centre of the entry.
     pub hall: HallId,
     /// Whether the data centre is evacuated.
@@ -56,7 +56,7 @@
 
     /// Applies changed entries up to a store version, in their order. Returns the resulting
     /// changes.
-    pub fn apply(&mut self, listed: &[ListedHall], version: u64) -> Vec<EvacuationChange> {
+    pub fn apply(&mut self, listed: &[HallEntry], version: u64) -> Vec<EvacuationChange> {
         let mut halls = self.known.halls.clone();
         for change in listed {
             if change.evacuated {
@@ -70,7 +70,7 @@
 
     /// Builds the list from all entries of a full read of the store.
     #[must_use]
-    pub fn whole(listed: &[ListedHall], version: u64) -> Evacuations {
+    pub fn snapshot(listed: &[HallEntry], version: u64) -> Evacuations {
         let halls = listed.iter().filter(|l| l.evacuated);
         let halls: BTreeSet<HallId> = halls.map(|l| l.hall.clone()).collect();
         Evacuations { version, halls }
--- a/crates/thistlesill-policy/src/edge/feed.rs
+++ b/crates/thistlesill-policy/src/edge/feed.rs
@@ -26,7 +26,7 @@
     /// Store version of the change.
     pub version: u64,
     /// The target's entry after the change.
-    pub what: Listing,
+    pub entry: Listing,
 }
 
 /// Changes of targets from one store version to another.
@@ -38,9 +38,9 @@
     /// Store version of the newest change.
     pub after: u64,
     /// The changes up to `after`.
-    pub list: Vec<Change>,
+    pub changes: Vec<Change>,
     /// How long the store has answered the sender without interruption.
-    pub steady: Option<Millis>,
+    pub store_uptime: Option<Millis>,
 }
 
 /// Store version of a change and the instance that changed.
@@ -115,7 +115,7 @@
 
     /// Returns a received batch if it can be applied now. A batch that follows unknown changes is
     /// buffered.
-    pub fn order(&mut self, batch: Batch) -> Option<Batch> {
+    pub fn accept(&mut self, batch: Batch) -> Option<Batch> {
         if batch.after <= self.version {
             return None;
         }
@@ -138,7 +138,7 @@
     }
 
     /// Returns the newest version among the buffered batches, which wait for missing changes.
-    pub fn held(&self) -> Option<u64> {
+    pub fn newest_held(&self) -> Option<u64> {
         self.held.iter().map(|batch| batch.after).max()
     }
 
@@ -161,7 +161,7 @@
 
     /// Returns the latest time of the claims whose changes have arrived since, and removes those
     /// claims.
-    pub fn reached(&mut self) -> Option<Millis> {
+    pub fn resolve_claims(&mut self) -> Option<Millis> {
         let version = self.version;
         let reached = self.claims.extract_if(.., |claim| claim.version <= version);
         reached.map(|claim| claim.at).max()
@@ -195,17 +195,17 @@
     /// Keeps a change in place of the previous one of the same target: a daemon that missed both
     /// needs only the current state of the target.
     fn keep(&mut self, change: &Change) {
-        let instance = change.what.instance();
+        let instance = change.entry.instance();
         if let Some(before) = self.newest.insert(instance.clone(), change.version) {
             let key = (before, instance.clone());
             self.kept.remove(&key);
             self.gone.remove(&key);
         }
         let key = (change.version, instance.clone());
-        if !matches!(change.what, Listing::Listed(_)) {
+        if !matches!(change.entry, Listing::Listed(_)) {
             self.gone.insert(key.clone());
         }
-        self.kept.insert(key, change.what.clone());
+        self.kept.insert(key, change.entry.clone());
     }
 
     /// Returns the newest change of each target that changed after `version`; `None` if not all of
@@ -217,7 +217,7 @@
         let first = (version.saturating_add(1), InstanceId::default());
         let changes = self.kept.range(first..).map(|((version, _), what)| Change {
             version: *version,
-            what: what.clone(),
+            entry: what.clone(),
         });
         Some(changes.collect())
     }
--- a/crates/thistlesill-policy/src/edge/limit.rs
+++ b/crates/thistlesill-policy/src/edge/limit.rs
@@ -69,24 +69,24 @@
 
 /// A target's limit as one daemon sends it to another. Times are ages, since clocks differ.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct ToldLimit {
+pub struct LimitUpdate {
     /// The target that the limit applies to.
     pub target: TargetId,
     /// The limit; `None` if the target has none.
     pub limit: Option<RateLimit>,
     /// Time since the request was sent.
-    pub sent: Millis,
+    pub sent_age: Millis,
     /// Time since the answer arrived.
-    pub came: Millis,
+    pub received_age: Millis,
 }
 
-impl ToldLimit {
+impl LimitUpdate {
     fn new(target: &TargetId, report: &LimitReport, now: Millis) -> Self {
         Self {
             target: target.clone(),
             limit: report.limit,
-            sent: now - report.from,
-            came: now - report.until,
+            sent_age: now - report.from,
+            received_age: now - report.until,
         }
     }
 
@@ -95,19 +95,19 @@
     pub fn report(&self, now: Millis) -> LimitReport {
         LimitReport {
             limit: self.limit,
-            from: now - self.sent,
-            until: now - self.came,
+            from: now - self.sent_age,
+            until: now - self.received_age,
         }
     }
 }
 
 /// How a report changed the known limit of a target.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Heard {
+pub enum LimitChange {
     /// The limit is the same as before.
-    Nothing,
+    Unchanged,
     /// The limit changed; holds the previous one.
-    News(Option<RateLimit>),
+    Changed(Option<RateLimit>),
     /// The report was ignored: a newer report with a different limit is known.
     Outdated,
 }
@@ -120,9 +120,9 @@
     /// The request may be sent.
     Granted,
     /// The bucket is empty; holds the time until the next request may be granted.
-    Spent(Millis),
+    Exhausted(Millis),
     /// Another daemon owns the target's bucket.
-    NotKept,
+    NotOwner,
 }
 
 /// How long a request may be sent to the target that was picked for it.
@@ -143,7 +143,7 @@
 
     /// Returns whether the request may be sent now; `limited` says whether the target has a limit.
     #[must_use]
-    pub fn holds(self, limited: bool, now: Millis) -> bool {
+    pub fn is_valid(self, limited: bool, now: Millis) -> bool {
         match self {
             Self::Unlimited => !limited,
             Self::Until(end) => now <= end,
@@ -249,28 +249,28 @@
 
 impl LimitTable {
     /// Applies the limit that an answer reported for its target.
-    pub fn hear(&mut self, id: &TargetId, report: LimitReport) -> Heard {
+    pub fn observe(&mut self, id: &TargetId, report: LimitReport) -> LimitChange {
         let Some(known) = self.targets.get(id).and_then(|limited| limited.report) else {
             if report.limit.is_none() {
-                return Heard::Nothing;
+                return LimitChange::Unchanged;
             }
             self.entry(id).report = Some(report);
-            return Heard::News(None);
+            return LimitChange::Changed(None);
         };
         let before = known.limit;
         if !report.supersedes(&known) {
             let outdated = known.is_after(&report) && before != report.limit;
             return if outdated {
-                Heard::Outdated
+                LimitChange::Outdated
             } else {
-                Heard::Nothing
+                LimitChange::Unchanged
             };
         }
         self.entry(id).report = Some(report);
         if before == report.limit {
-            Heard::Nothing
+            LimitChange::Unchanged
         } else {
-            Heard::News(before)
+            LimitChange::Changed(before)
         }
     }
 
@@ -313,7 +313,7 @@
     ///
     /// An owner that receives heartbeats from only some of the daemons grants their fraction of the
     /// limit, since the others may have an owner of their own.
-    pub fn keep(&mut self, id: &TargetId, part: f64, now: Millis) {
+    pub fn own(&mut self, id: &TargetId, part: f64, now: Millis) {
         let Some(limited) = self.targets.get_mut(id) else {
             return;
         };
@@ -327,7 +327,7 @@
     }
 
     /// Gives up the token bucket of a target.
-    pub fn leave(&mut self, id: &TargetId) {
+    pub fn disown(&mut self, id: &TargetId) {
         if let Some(limited) = self.targets.get_mut(id) {
             limited.bucket = None;
         }
@@ -342,11 +342,11 @@
             return Grant::Unlimited;
         };
         let Some(bucket) = &mut limited.bucket else {
-            return Grant::NotKept;
+            return Grant::NotOwner;
         };
         let available = bucket.available(limit, now);
         if available < 1.0 {
-            return Grant::Spent(bucket.wait(limit, now));
+            return Grant::Exhausted(bucket.wait(limit, now));
         }
         bucket.tokens = available - 1.0;
         bucket.updated_at = now;
@@ -354,7 +354,7 @@
     }
 
     /// Records that the owner of a target grants nothing until `until`.
-    pub fn note_spent(&mut self, id: &TargetId, until: Millis) {
+    pub fn note_exhausted(&mut self, id: &TargetId, until: Millis) {
         if let Some(limited) = self.targets.get_mut(id) {
             limited.spent = until;
         }
@@ -368,28 +368,28 @@
     }
 
     /// Returns whether no request may be sent to a target now.
-    pub fn is_spent(&self, id: &TargetId, now: Millis) -> bool {
+    pub fn is_exhausted(&self, id: &TargetId, now: Millis) -> bool {
         self.wait(id, now) > Millis::ZERO
     }
 
     /// Returns the targets to which no request may be sent now.
-    pub fn spent(&self, now: Millis) -> Vec<TargetId> {
+    pub fn exhausted(&self, now: Millis) -> Vec<TargetId> {
         let all = self.targets.iter();
         let spent = all.filter(|(_, limited)| limited.wait(now) > Millis::ZERO);
         spent.map(|(id, _)| id.clone()).collect()
     }
 
     /// Returns a target's limit in the form that is sent to other daemons.
-    pub fn told(&self, id: &TargetId, now: Millis) -> Option<ToldLimit> {
+    pub fn update(&self, id: &TargetId, now: Millis) -> Option<LimitUpdate> {
         let report = self.targets.get(id)?.report?;
-        Some(ToldLimit::new(id, &report, now))
+        Some(LimitUpdate::new(id, &report, now))
     }
 
     /// Returns the limits of the targets that this daemon owns, in the form that is sent to other
     /// daemons.
-    pub fn told_kept(&self, now: Millis) -> Vec<ToldLimit> {
+    pub fn owned_updates(&self, now: Millis) -> Vec<LimitUpdate> {
         let kept = self.targets.iter().filter(|(_, l)| l.bucket.is_some());
-        kept.filter_map(|(id, l)| Some(ToldLimit::new(id, &l.report?, now)))
+        kept.filter_map(|(id, l)| Some(LimitUpdate::new(id, &l.report?, now)))
             .collect()
     }
 
--- a/crates/thistlesill-policy/src/edge/load.rs
+++ b/crates/thistlesill-policy/src/edge/load.rs
@@ -60,7 +60,7 @@
 
 /// A request for which a target is picked.
 #[derive(Debug, Clone, Copy)]
-pub struct Wanted<'a> {
+pub struct PickRequest<'a> {
     /// Engines of the service, if it runs models.
     pub engine: Option<&'a Engine>,
     /// Length of the prompt in tokens.
@@ -128,7 +128,7 @@
     Exact,
     /// The counts are old: the best of a small sample is picked, since daemons with the same
     /// knowledge should not all pick the same target.
-    Old,
+    Stale,
 }
 
 impl LoadTable {
@@ -140,7 +140,7 @@
     }
 
     /// Records that the prompt of a request was processed.
-    pub fn read(&mut self, id: &TargetId, unread: u32) {
+    pub fn end_prefill(&mut self, id: &TargetId, unread: u32) {
         let own = &mut self.entry(id).own;
         own.unread = own.unread.saturating_sub(unread);
     }
@@ -235,24 +235,29 @@
 
     /// Returns the targets that are avoided although this daemon has active streams there: a target
     /// that leaves accepts no connections while it completes its requests.
-    pub fn going_on(&self, now: Millis) -> Vec<TargetId> {
+    pub fn suspects_with_streams(&self, now: Millis) -> Vec<TargetId> {
         let found = self.targets.iter().filter(|(_, l)| l.suspect > now);
         let found = found.filter(|(_, l)| l.has_active_streams(now));
         found.map(|(id, _)| id.clone()).collect()
     }
 
     /// Replaces a peer's counts, which are valid until `until`.
-    pub fn hear(&mut self, peer: &NodeId, counts: HashMap<TargetId, Work>, until: Millis) {
-        self.peers.hear(peer, counts, until);
+    pub fn set_peer_counts(
+        &mut self,
+        peer: &NodeId,
+        counts: HashMap<TargetId, Work>,
+        until: Millis,
+    ) {
+        self.peers.replace(peer, counts, until);
     }
 
     /// Counts a request that a peer is about to send to a target, until the peer's next counts.
-    pub fn grant(&mut self, peer: &NodeId, id: &TargetId, unread: u32, until: Millis) {
-        self.peers.grant(peer, id, unread, until);
+    pub fn add_granted(&mut self, peer: &NodeId, id: &TargetId, unread: u32, until: Millis) {
+        self.peers.add_granted(peer, id, unread, until);
     }
 
     /// Sets the total work at a target as reported by its owner, valid until `until`.
-    pub fn hear_total(&mut self, id: TargetId, work: Work, until: Millis) {
+    pub fn set_total(&mut self, id: TargetId, work: Work, until: Millis) {
         self.totals.insert(id, (work, until));
     }
 
@@ -294,7 +299,7 @@
     }
 
     /// Returns how long a group may be silent while it processes its requests.
-    pub fn patience(&self, target: &Target, engine: &Engine, now: Millis) -> Millis {
+    pub fn stall_timeout(&self, target: &Target, engine: &Engine, now: Millis) -> Millis {
         let work = self.work(&target.id, now);
         let pass = Pass::of(target, engine, work);
         let slowdown = self.slowdown(&target.id, now);
@@ -303,7 +308,7 @@
 
     /// Returns the expected duration of one more request at a target, in milliseconds, with the
     /// penalty for another data centre.
-    fn expected_ms(&self, target: &Target, wanted: &Wanted<'_>, now: Millis) -> f64 {
+    fn expected_ms(&self, target: &Target, wanted: &PickRequest<'_>, now: Millis) -> f64 {
         let mut work = self.work(&target.id, now);
         let far = if target.hall == *wanted.hall {
             0.0
@@ -326,10 +331,10 @@
     ///
     /// A request that would begin too late also delays those behind it, so its caller does better
     /// to retry when the targets have caught up.
-    pub fn overload(
+    pub fn lateness(
         &self,
         candidates: &[&Target],
-        wanted: &Wanted<'_>,
+        wanted: &PickRequest<'_>,
         aim: Millis,
         now: Millis,
     ) -> Option<Millis> {
@@ -362,7 +367,7 @@
     }
 
     /// Returns whether counts of any peer are known.
-    pub fn hears_peers(&self) -> bool {
+    pub fn has_peer_counts(&self) -> bool {
         !self.peers.is_empty()
     }
 
@@ -371,7 +376,7 @@
     pub fn pick<'a>(
         &self,
         candidates: &[&'a Target],
-        wanted: &Wanted<'_>,
+        wanted: &PickRequest<'_>,
         knowledge: Knowledge,
         now: Millis,
         rng: &mut impl rand::Rng,
@@ -390,7 +395,7 @@
             pool.iter().copied().partition(|t| t.hall == *wanted.hall);
         let near_samples = match knowledge {
             Knowledge::Exact => near.len(),
-            Knowledge::Old => NEAR_SAMPLES,
+            Knowledge::Stale => NEAR_SAMPLES,
         };
         let mut sample = draw(&near, near_samples, rng);
         sample.extend(draw(&far, FAR_SAMPLES, rng));
--- a/crates/thistlesill-policy/src/edge/load/peers.rs
+++ b/crates/thistlesill-policy/src/edge/load/peers.rs
@@ -34,7 +34,12 @@
     }
 
     /// Replaces the counts of a peer.
-    pub(super) fn hear(&mut self, peer: &NodeId, counts: HashMap<TargetId, Work>, until: Millis) {
+    pub(super) fn replace(
+        &mut self,
+        peer: &NodeId,
+        counts: HashMap<TargetId, Work>,
+        until: Millis,
+    ) {
         for (id, work) in &counts {
             *self.sums.entry(id.clone()).or_default() += *work;
         }
@@ -46,7 +51,7 @@
     }
 
     /// Adds a request to a peer's counts.
-    pub(super) fn grant(&mut self, peer: &NodeId, id: &TargetId, unread: u32, until: Millis) {
+    pub(super) fn add_granted(&mut self, peer: &NodeId, id: &TargetId, unread: u32, until: Millis) {
         let work = Work {
             requests: 1,
             unread,
--- a/crates/thistlesill-policy/src/edge/owner.rs
+++ b/crates/thistlesill-policy/src/edge/owner.rs
@@ -55,11 +55,11 @@
 /// Heartbeats of a frozen or overloaded owner are received for seconds after it has stopped
 /// answering, and each request to it would cost the caller the wait for a timeout.
 #[derive(Debug, Clone, Default)]
-pub struct Answering {
+pub struct OwnerHealth {
     silent: HashMap<NodeId, (u32, Millis)>,
 }
 
-impl Answering {
+impl OwnerHealth {
     /// Returns whether an owner may be asked.
     #[must_use]
     pub fn may_ask(&self, owner: &NodeId, now: Millis) -> bool {
--- a/crates/thistlesill-policy/src/edge/spread.rs
+++ b/crates/thistlesill-policy/src/edge/spread.rs
@@ -20,7 +20,7 @@
 
 /// Returns whether changes go through relays in a fleet of this many daemons.
 #[must_use]
-pub const fn has_relays(daemons: usize) -> bool {
+pub const fn uses_relays(daemons: usize) -> bool {
     daemons > MAX_DIRECT_SENDS
 }
 
--- a/crates/thistlesill-policy/src/quarantine.rs
+++ b/crates/thistlesill-policy/src/quarantine.rs
@@ -57,7 +57,7 @@
 
 /// Whether a request may be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum QuarantineStatus {
     /// The request may be sent.
     Free,
     /// The request was withheld for long enough and may be sent once, as a trial.
@@ -167,15 +167,17 @@
 
     /// Returns whether a request may be sent.
     #[must_use]
-    pub fn standing(&self, print: Fingerprint, now: Millis) -> Standing {
+    pub fn status(&self, print: Fingerprint, now: Millis) -> QuarantineStatus {
         match self.records.get(&print) {
-            Some(record) if record.is_tried(now) => Standing::Tried(record.until - now),
-            Some(record) if record.is_withheld(now) => Standing::Withheld(record.until - now),
+            Some(record) if record.is_tried(now) => QuarantineStatus::Tried(record.until - now),
+            Some(record) if record.is_withheld(now) => {
+                QuarantineStatus::Withheld(record.until - now)
+            }
             Some(record) if record.level > 0 && self.is_trial_on(now) => {
-                Standing::Withheld(TRIAL_RETRY_AFTER)
+                QuarantineStatus::Withheld(TRIAL_RETRY_AFTER)
             }
-            Some(record) if record.level > 0 => Standing::Trial,
-            _ => Standing::Free,
+            Some(record) if record.level > 0 => QuarantineStatus::Trial,
+            _ => QuarantineStatus::Free,
         }
     }
 
@@ -291,7 +293,7 @@
 
     /// Records that a request completed. Returns the verdict to broadcast if a loss or a verdict
     /// was recorded for the request. A request that was never withheld is forgotten.
-    pub fn note_good(&mut self, print: Fingerprint, now: Millis) -> Option<Verdict> {
+    pub fn note_success(&mut self, print: Fingerprint, now: Millis) -> Option<Verdict> {
         let record = self.records.get_mut(&print)?;
         if record.round == 0 {
             self.records.remove(&print);
--- a/crates/thistlesill-policy/src/router/core/fatal.rs
+++ b/crates/thistlesill-policy/src/router/core/fatal.rs
@@ -7,7 +7,7 @@
 use thistlesill_core::{Fingerprint, Millis, RequestId, Verdict};
 
 use super::{MAX_VERDICTS, RouterCore, VERDICTS_GAP};
-use crate::quarantine::Standing;
+use crate::quarantine::QuarantineStatus;
 use crate::router::{Arrival, RouterAction, Wanted};
 use crate::serving::GroupKey;
 
@@ -37,10 +37,10 @@
     /// For how long a request is withheld, if it is; one that may be tried is tried then.
     pub(super) fn withheld(&mut self, arrival: &Arrival, now: Millis) -> Option<Millis> {
         let print = self.suspected(arrival)?;
-        match self.quarantine.standing(print, now) {
-            Standing::Free => None,
-            Standing::Withheld(left) | Standing::Tried(left) => Some(left),
-            Standing::Trial => {
+        match self.quarantine.status(print, now) {
+            QuarantineStatus::Free => None,
+            QuarantineStatus::Withheld(left) | QuarantineStatus::Tried(left) => Some(left),
+            QuarantineStatus::Trial => {
                 let verdict = self.quarantine.begin_trial(print, now);
                 self.untold.verdicts.extend(verdict);
                 None
@@ -61,13 +61,13 @@
         let lost = (key.group.clone(), key.epoch);
         self.untold.lost.push((print, lost));
         self.untold.verdicts.extend(verdict);
-        self.quarantine.standing(print, now) == Standing::Free
+        self.quarantine.status(print, now) == QuarantineStatus::Free
     }
 
     /// Notes that a request ran to a good end.
     pub(super) fn ran_well(&mut self, arrival: &Arrival, now: Millis) {
         if let Some(print) = self.suspected(arrival) {
-            let verdict = self.quarantine.note_good(print, now);
+            let verdict = self.quarantine.note_success(print, now);
             self.untold.verdicts.extend(verdict);
         }
     }
--- a/crates/thistlesill-policy/tests/edge/admission.rs
+++ b/crates/thistlesill-policy/tests/edge/admission.rs
@@ -4,7 +4,9 @@
 use rand::rngs::SmallRng;
 use thistlesill_core::edge::{Bounds, Catalog, Limits, Route, RouteKind, Service, ServiceShare};
 use thistlesill_core::{ErrorKind, Millis};
-use thistlesill_policy::edge::admission::{Asking, Key, Passage, admit, may_still_take};
+use thistlesill_policy::edge::admission::{
+    Admission, AdmissionRequest, Key, accepts_while_stopping, admit,
+};
 use thistlesill_policy::edge::freshness::{Freshness, MARGIN};
 
 const NOW: Millis = Millis::new(1_000_000);
@@ -60,12 +62,12 @@
     catalog
 }
 
-fn ask(path: &str, key: Key<'_>, proved: Option<Millis>) -> Result<Passage, ErrorKind> {
+fn ask(path: &str, key: Key<'_>, proved: Option<Millis>) -> Result<Admission, ErrorKind> {
     let mut fresh = Freshness::default();
     if let Some(at) = proved {
         fresh.confirm(at);
     }
-    let request = Asking {
+    let request = AdmissionRequest {
         host: "A.example:80",
         path,
         key,
@@ -83,7 +85,7 @@
         admitted.priority, 1,
         "the customer's priority takes precedence"
     );
-    assert_eq!(admitted.limit, Millis::new(1_500));
+    assert_eq!(admitted.timeout, Millis::new(1_500));
     let admitted = ask("/a/x", Key::Given("k1"), Some(NOW)).expect("it is admitted");
     assert_eq!(&*admitted.route.name, "short");
     assert_eq!(
@@ -130,7 +132,7 @@
 
 #[test]
 fn without_a_catalog_nothing_is_said_of_routes_or_keys() {
-    let request = Asking {
+    let request = AdmissionRequest {
         host: "a.example",
         path: "/nowhere/",
         key: Key::Missing,
@@ -145,8 +147,8 @@
 fn a_stopping_daemon_takes_only_what_ends_in_time() {
     let grace = Millis::new(7_600);
     let (long, short) = (Millis::new(6_000), Millis::new(1_000));
-    assert!(may_still_take(Millis::new(2_500), long, grace));
-    assert!(!may_still_take(Millis::new(2_700), long, grace));
-    assert!(may_still_take(Millis::new(6_500), short, grace));
-    assert!(!may_still_take(Millis::new(6_700), short, grace));
+    assert!(accepts_while_stopping(Millis::new(2_500), long, grace));
+    assert!(!accepts_while_stopping(Millis::new(2_700), long, grace));
+    assert!(accepts_while_stopping(Millis::new(6_500), short, grace));
+    assert!(!accepts_while_stopping(Millis::new(6_700), short, grace));
 }
--- a/crates/thistlesill-policy/tests/edge/asked.rs
+++ b/crates/thistlesill-policy/tests/edge/asked.rs
@@ -2,7 +2,7 @@
 
 use thistlesill_core::{Millis, Model, ServiceName};
 use thistlesill_fakes::engines::engine;
-use thistlesill_policy::edge::asked::{Asked, AskedMeter};
+use thistlesill_policy::edge::asked::{DemandMeter, DemandSample};
 
 /// Time between two requests: 50 per second.
 const GAP: Millis = Millis::new(20);
@@ -15,24 +15,24 @@
 }
 
 /// Records requests for the large model during `time`, and returns the end of that time.
-fn ask(meter: &mut AskedMeter, from: Millis, time: Millis, refused: bool) -> Millis {
+fn ask(meter: &mut DemandMeter, from: Millis, time: Millis, refused: bool) -> Millis {
     let (engine, model) = (engine(), Model::from("large"));
     let mut now = from;
     while now < from + time {
-        let asked = Asked {
+        let asked = DemandSample {
             engine: &engine,
             model: &model,
             prompt: 1_840,
             answer: Some(50),
             refused,
         };
-        meter.note(&"s".into(), &asked, now);
+        meter.record(&"s".into(), &asked, now);
         now = now + GAP;
     }
     now
 }
 
-fn work(meter: &mut AskedMeter, now: Millis) -> f64 {
+fn work(meter: &mut DemandMeter, now: Millis) -> f64 {
     let key = (ServiceName::from("s"), Model::from("large"));
     meter.work(now).get(&key).copied().unwrap_or(0.0)
 }
@@ -44,7 +44,7 @@
 
 #[test]
 fn work_is_told_in_groups_from_the_first_second_on() {
-    let mut meter = AskedMeter::default();
+    let mut meter = DemandMeter::default();
     let groups = WORK / GAP.get() as f64;
     let second = ask(&mut meter, start(), Millis::new(1_000), false);
     assert_near(work(&mut meter, second), groups);
@@ -54,14 +54,14 @@
 
 #[test]
 fn refused_requests_count_half_since_they_come_back() {
-    let mut meter = AskedMeter::default();
+    let mut meter = DemandMeter::default();
     let end = ask(&mut meter, start(), Millis::new(10_000), true);
     assert_near(work(&mut meter, end), WORK / GAP.get() as f64 / 2.0);
 }
 
 #[test]
 fn work_that_ends_is_forgotten() {
-    let mut meter = AskedMeter::default();
+    let mut meter = DemandMeter::default();
     let end = ask(&mut meter, start(), Millis::new(10_000), false);
     let before = work(&mut meter, end);
     let after = work(&mut meter, end + Millis::new(8_000));
@@ -71,26 +71,28 @@
 
 #[test]
 fn models_that_the_service_does_not_run_count_nothing() {
-    let mut meter = AskedMeter::default();
+    let mut meter = DemandMeter::default();
     let (engine, model) = (engine(), Model::from("unknown"));
-    let asked = Asked {
+    let asked = DemandSample {
         engine: &engine,
         model: &model,
         prompt: 1_000,
         answer: None,
         refused: false,
     };
-    meter.note(&"s".into(), &asked, start());
+    meter.record(&"s".into(), &asked, start());
     assert!(meter.work(start()).is_empty());
 }
 
 #[test]
 fn the_work_of_one_request_is_known_whether_some_are_turned_away_or_not() {
-    let mut meter = AskedMeter::default();
+    let mut meter = DemandMeter::default();
     let (service, model) = (ServiceName::from("s"), Model::from("large"));
-    assert_eq!(meter.each(&service, &model), None);
+    assert_eq!(meter.work_per_request(&service, &model), None);
     let now = ask(&mut meter, start(), Millis::new(2_000), false);
     ask(&mut meter, now, Millis::new(2_000), true);
-    let each = meter.each(&service, &model).expect("requests arrived");
+    let each = meter
+        .work_per_request(&service, &model)
+        .expect("requests arrived");
     assert_near(each, WORK);
 }
--- a/crates/thistlesill-policy/tests/edge/attempt.rs
+++ b/crates/thistlesill-policy/tests/edge/attempt.rs
@@ -2,7 +2,7 @@
 
 use thistlesill_core::ErrorKind;
 use thistlesill_core::error::Ran;
-use thistlesill_policy::edge::attempt::{Attempts, Next, Outcome, after};
+use thistlesill_policy::edge::attempt::{Attempts, NextStep, Outcome, next_step};
 
 const ALL: [Outcome; 5] = [
     Outcome::NotSent,
@@ -12,8 +12,8 @@
     Outcome::Late,
 ];
 
-fn first(outcome: Outcome, repeatable: bool, allowed: u32, budget: bool) -> Next {
-    after(
+fn first(outcome: Outcome, repeatable: bool, allowed: u32, budget: bool) -> NextStep {
+    next_step(
         outcome,
         &mut Attempts::default(),
         repeatable,
@@ -25,10 +25,14 @@
 #[test]
 fn what_may_have_run_once_is_not_sent_again() {
     for outcome in [Outcome::Failed, Outcome::MayHaveRun, Outcome::Late] {
-        assert_ne!(first(outcome, false, 5, true), Next::Again, "{outcome:?}");
+        assert_ne!(
+            first(outcome, false, 5, true),
+            NextStep::Retry,
+            "{outcome:?}"
+        );
     }
-    assert_eq!(first(Outcome::NotRun, false, 5, true), Next::Again);
-    assert_eq!(first(Outcome::NotSent, false, 5, true), Next::Again);
+    assert_eq!(first(Outcome::NotRun, false, 5, true), NextStep::Retry);
+    assert_eq!(first(Outcome::NotSent, false, 5, true), NextStep::Retry);
 }
 
 #[test]
@@ -36,9 +40,9 @@
     for once in ALL {
         for then in ALL {
             let mut attempts = Attempts::default();
-            after(once, &mut attempts, true, 2, || true);
-            let next = after(then, &mut attempts, true, 2, || false);
-            let Next::Fail(kind) = next else { continue };
+            next_step(once, &mut attempts, true, 2, || true);
+            let next = next_step(then, &mut attempts, true, 2, || false);
+            let NextStep::Fail(kind) = next else { continue };
             let ran = |o| matches!(o, Outcome::Failed | Outcome::MayHaveRun | Outcome::Late);
             if ran(once) || ran(then) {
                 assert_ne!(kind.answer().ran, Ran::No, "{once:?} then {then:?}: {kind}");
@@ -49,14 +53,14 @@
 
 #[test]
 fn the_route_bounds_the_targets_and_the_budget_the_retries() {
-    assert_eq!(first(Outcome::MayHaveRun, true, 2, true), Next::Again);
+    assert_eq!(first(Outcome::MayHaveRun, true, 2, true), NextStep::Retry);
     assert_eq!(
         first(Outcome::MayHaveRun, true, 1, true),
-        Next::Fail(ErrorKind::SentUnknown)
+        NextStep::Fail(ErrorKind::SentUnknown)
     );
     assert_eq!(
         first(Outcome::NotRun, true, 2, false),
-        Next::Fail(ErrorKind::TargetRefused)
+        NextStep::Fail(ErrorKind::TargetRefused)
     );
 }
 
@@ -64,7 +68,7 @@
 fn connections_that_do_not_come_up_are_tried_a_few_times() {
     let mut attempts = Attempts::default();
     let mut tries = 0;
-    while after(Outcome::NotSent, &mut attempts, false, 1, || false) == Next::Again {
+    while next_step(Outcome::NotSent, &mut attempts, false, 1, || false) == NextStep::Retry {
         tries += 1;
         assert!(tries < 10);
     }
--- a/crates/thistlesill-policy/tests/edge/beats.rs
+++ b/crates/thistlesill-policy/tests/edge/beats.rs
@@ -1,20 +1,20 @@
 //! Tests of the heartbeat schedule in fleets of several sizes.
 
 use thistlesill_core::Millis;
-use thistlesill_policy::edge::beats::{BeatGaps, BeatSchedule, DueBeat};
+use thistlesill_policy::edge::beats::{DueHeartbeat, HeartbeatIntervals, HeartbeatSchedule};
 
 fn ms(ms: u64) -> Millis {
     Millis::new(ms)
 }
 
 /// The times at which messages of one kind are sent during some seconds.
-fn sent(gaps: &BeatGaps, kind: DueBeat, seconds: u64) -> Vec<Millis> {
-    let mut schedule = BeatSchedule::new(ms(0));
+fn sent(gaps: &HeartbeatIntervals, kind: DueHeartbeat, seconds: u64) -> Vec<Millis> {
+    let mut schedule = HeartbeatSchedule::new(ms(0));
     let mut sent = Vec::new();
     let mut now = ms(0);
     while now < ms(seconds * 1_000) {
         match schedule.next(gaps, true, now) {
-            DueBeat::Wait(until) => {
+            DueHeartbeat::Wait(until) => {
                 assert!(until > now, "{until} is not after {now}");
                 now = until;
             }
@@ -36,41 +36,47 @@
 #[test]
 fn a_planner_of_a_large_data_centre_is_heard_as_often_as_that_of_a_small_one() {
     for daemons in [3_u64, 200, 400] {
-        let gaps = BeatGaps {
+        let gaps = HeartbeatIntervals {
             near: ms(150.max(16 * daemons)),
             all: ms(400),
             planner: ms(3_300),
-            asked: ms(1_000),
+            demand: ms(1_000),
         };
-        assert_eq!(longest(&sent(&gaps, DueBeat::All, 30)), ms(400));
-        let asked = sent(&gaps, DueBeat::Asked, 30);
+        assert_eq!(longest(&sent(&gaps, DueHeartbeat::All, 30)), ms(400));
+        let asked = sent(&gaps, DueHeartbeat::Demand, 30);
         assert!(asked.len() >= 29, "{} reports", asked.len());
     }
 }
 
 #[test]
 fn each_kind_keeps_its_own_gap() {
-    let gaps = BeatGaps {
+    let gaps = HeartbeatIntervals {
         near: ms(3_200),
         all: ms(33_000),
         planner: ms(3_300),
-        asked: ms(1_000),
+        demand: ms(1_000),
     };
-    assert_eq!(sent(&gaps, DueBeat::All, 100).len(), 4);
-    assert!((27..=31).contains(&sent(&gaps, DueBeat::Near, 100).len()));
-    assert!((26..=30).contains(&sent(&gaps, DueBeat::Planner, 100).len()));
+    assert_eq!(sent(&gaps, DueHeartbeat::All, 100).len(), 4);
+    assert!((27..=31).contains(&sent(&gaps, DueHeartbeat::Near, 100).len()));
+    assert!((26..=30).contains(&sent(&gaps, DueHeartbeat::Planner, 100).len()));
 }
 
 #[test]
 fn all_are_told_as_soon_as_the_list_of_them_is_there() {
-    let gaps = BeatGaps {
+    let gaps = HeartbeatIntervals {
         near: ms(300),
         all: ms(900),
         planner: ms(300),
-        asked: ms(1_000),
+        demand: ms(1_000),
     };
-    let mut schedule = BeatSchedule::new(ms(0));
-    assert_eq!(schedule.next(&gaps, false, ms(0)), DueBeat::Wait(ms(300)));
-    assert_eq!(schedule.next(&gaps, true, ms(10)), DueBeat::All);
-    assert_eq!(schedule.next(&gaps, true, ms(10)), DueBeat::Wait(ms(310)));
+    let mut schedule = HeartbeatSchedule::new(ms(0));
+    assert_eq!(
+        schedule.next(&gaps, false, ms(0)),
+        DueHeartbeat::Wait(ms(300))
+    );
+    assert_eq!(schedule.next(&gaps, true, ms(10)), DueHeartbeat::All);
+    assert_eq!(
+        schedule.next(&gaps, true, ms(10)),
+        DueHeartbeat::Wait(ms(310))
+    );
 }
--- a/crates/thistlesill-policy/tests/edge/book.rs
+++ b/crates/thistlesill-policy/tests/edge/book.rs
@@ -9,7 +9,7 @@
 };
 use thistlesill_core::{HallId, Millis};
 use thistlesill_fakes::engines::engine;
-use thistlesill_policy::edge::book::{Listing, RELIST, TargetBook};
+use thistlesill_policy::edge::book::{Listing, RELIST_GRACE, TargetRegistry};
 
 const NOW: Millis = Millis::new(1_000_000);
 
@@ -34,12 +34,12 @@
     Listing::Listed(Box::new(target(id)))
 }
 
-fn count(book: &TargetBook) -> usize {
+fn count(book: &TargetRegistry) -> usize {
     book.serving(&"s".into(), None).len()
 }
 
-fn book() -> TargetBook {
-    let mut book = TargetBook::default();
+fn book() -> TargetRegistry {
+    let mut book = TargetRegistry::default();
     book.store_answered(NOW);
     book.apply(vec![listed("a"), listed("b")], None, NOW);
     book
@@ -72,14 +72,14 @@
     );
     assert_eq!(count(&book), 2);
     book.apply(vec![listed("a")], None, back + Millis::new(900));
-    assert!(!book.expire(None, back + RELIST - Millis::new(1)));
-    assert!(book.expire(None, back + RELIST));
+    assert!(!book.expire(None, back + RELIST_GRACE - Millis::new(1)));
+    assert!(book.expire(None, back + RELIST_GRACE));
     assert_eq!(
         count(&book),
         1,
         "a target that is not listed again is removed"
     );
-    assert!(book.knows(&"a".into()));
+    assert!(book.is_current(&"a".into()));
 }
 
 #[test]
@@ -99,7 +99,7 @@
 fn a_whole_read_drops_what_it_lacks() {
     let mut book = book();
     book.replace(vec![listed("c")], None, NOW + Millis::new(60_000));
-    assert!(book.knows(&"c".into()) && !book.knows(&"a".into()));
+    assert!(book.is_current(&"c".into()) && !book.is_current(&"a".into()));
 }
 
 const HALLS: [&str; 2] = ["h", "other"];
@@ -150,9 +150,9 @@
 #[test]
 fn targets_that_change_one_by_one_serve_as_those_that_are_read_at_once() {
     let mut rng = SmallRng::seed_from_u64(7);
-    let mut book = TargetBook::default();
+    let mut book = TargetRegistry::default();
     book.store_answered(NOW);
-    let later = NOW + RELIST;
+    let later = NOW + RELIST_GRACE;
     for round in 0..4_000 {
         let catalog = catalog(round / 500);
         let change = match rng.random_range(0..6) {
--- a/crates/thistlesill-policy/tests/edge/evacuation.rs
+++ b/crates/thistlesill-policy/tests/edge/evacuation.rs
@@ -2,7 +2,7 @@
 
 use thistlesill_core::HallId;
 use thistlesill_core::edge::Evacuations;
-use thistlesill_policy::edge::evacuation::{EvacuationChange, EvacuationTable, ListedHall};
+use thistlesill_policy::edge::evacuation::{EvacuationChange, EvacuationTable, HallEntry};
 
 fn list(version: u64, halls: &[&str]) -> Evacuations {
     Evacuations {
@@ -11,8 +11,8 @@
     }
 }
 
-fn listed(hall: &str, evacuated: bool) -> ListedHall {
-    ListedHall {
+fn listed(hall: &str, evacuated: bool) -> HallEntry {
+    HallEntry {
         hall: hall.into(),
         evacuated,
     }
@@ -54,5 +54,5 @@
         table.apply(&changes, 4),
         vec![EvacuationChange::Begun("b".into())]
     );
-    assert_eq!(EvacuationTable::whole(&changes[2..], 4), list(4, &["b"]));
+    assert_eq!(EvacuationTable::snapshot(&changes[2..], 4), list(4, &["b"]));
 }
--- a/crates/thistlesill-policy/tests/edge/feed.rs
+++ b/crates/thistlesill-policy/tests/edge/feed.rs
@@ -9,7 +9,7 @@
 fn gone(version: u64) -> Change {
     Change {
         version,
-        what: Listing::Gone(format!("t-{version}").into()),
+        entry: Listing::Gone(format!("t-{version}").into()),
     }
 }
 
@@ -58,7 +58,7 @@
     for version in 1..=40_000 {
         let change = Change {
             version,
-            what: listed(version % 4_000),
+            entry: listed(version % 4_000),
         };
         feed.extend(&[change], version);
     }
@@ -98,8 +98,8 @@
     Batch {
         before,
         after,
-        list: (before + 1..=after).map(gone).collect(),
-        steady: None,
+        changes: (before + 1..=after).map(gone).collect(),
+        store_uptime: None,
     }
 }
 
@@ -109,19 +109,19 @@
 fn a_batch_that_overtakes_waits_for_those_before_it() {
     let mut feed = Feed::default();
     feed.restart(10);
-    assert_eq!(feed.order(batch(12, 14)), None);
-    assert_eq!(feed.order(batch(14, 15)), None);
-    assert_eq!(feed.order(batch(14, 15)), None, "each arrives twice");
-    assert_eq!(feed.held(), Some(15));
+    assert_eq!(feed.accept(batch(12, 14)), None);
+    assert_eq!(feed.accept(batch(14, 15)), None);
+    assert_eq!(feed.accept(batch(14, 15)), None, "each arrives twice");
+    assert_eq!(feed.newest_held(), Some(15));
     assert_eq!(feed.next_held(), None);
-    assert_eq!(feed.order(batch(10, 12)), Some(batch(10, 12)));
-    feed.extend(&batch(10, 12).list, 12);
+    assert_eq!(feed.accept(batch(10, 12)), Some(batch(10, 12)));
+    feed.extend(&batch(10, 12).changes, 12);
     assert_eq!(feed.next_held(), Some(batch(12, 14)));
-    feed.extend(&batch(12, 14).list, 14);
+    feed.extend(&batch(12, 14).changes, 14);
     assert_eq!(feed.next_held(), Some(batch(14, 15)));
-    feed.extend(&batch(14, 15).list, 15);
-    assert_eq!((feed.next_held(), feed.held()), (None, None));
-    assert_eq!(feed.order(batch(12, 14)), None, "it is known");
+    feed.extend(&batch(14, 15).changes, 15);
+    assert_eq!((feed.next_held(), feed.newest_held()), (None, None));
+    assert_eq!(feed.accept(batch(12, 14)), None, "it is known");
 }
 
 #[test]
@@ -129,13 +129,13 @@
     let mut feed = Feed::default();
     feed.restart(0);
     for version in 10..1_000 {
-        assert_eq!(feed.order(batch(version, version + 1)), None);
+        assert_eq!(feed.accept(batch(version, version + 1)), None);
     }
     feed.restart(9);
     let mut applied = 0;
     feed.extend(&[gone(10)], 10);
     while let Some(next) = feed.next_held() {
-        feed.extend(&next.list, next.after);
+        feed.extend(&next.changes, next.after);
         applied += 1;
     }
     assert!((1..100).contains(&applied), "{applied}");
@@ -156,7 +156,7 @@
         let proved = feed.claim(now + 5, ms(now));
         assert_eq!(proved, None);
         feed.extend(&[gone(now)], now);
-        let reached = feed.reached();
+        let reached = feed.resolve_claims();
         age = reached.map_or(age + 1, |at| now - at.get());
         assert!(age <= 5 || now < 10, "{age} at {now}");
     }
@@ -171,8 +171,8 @@
     for version in 11..40 {
         assert_eq!(feed.claim(version, ms(version)), None);
     }
-    assert_eq!(feed.reached(), None);
+    assert_eq!(feed.resolve_claims(), None);
     feed.extend(&[gone(25)], 25);
-    assert_eq!(feed.reached(), Some(ms(25)));
-    assert_eq!(feed.reached(), None, "each claim is resolved once");
+    assert_eq!(feed.resolve_claims(), Some(ms(25)));
+    assert_eq!(feed.resolve_claims(), None, "each claim is resolved once");
 }
--- a/crates/thistlesill-policy/tests/edge/limit.rs
+++ b/crates/thistlesill-policy/tests/edge/limit.rs
@@ -4,7 +4,7 @@
 use thistlesill_core::Millis;
 use thistlesill_core::edge::{Incarnation, RateLimit, TargetId};
 use thistlesill_policy::edge::limit::{
-    Clearance, Grant, Heard, LimitReport, LimitTable, ToldLimit,
+    Clearance, Grant, LimitChange, LimitReport, LimitTable, LimitUpdate,
 };
 
 /// Window over which granted requests are compared with a limit, in milliseconds.
@@ -31,7 +31,7 @@
 fn observed(reports: &[LimitReport]) -> LimitTable {
     let mut table = LimitTable::default();
     for report in reports {
-        table.hear(&target(), *report);
+        table.observe(&target(), *report);
     }
     table
 }
@@ -50,7 +50,7 @@
 /// The times at which an owner grants requests during 40 s under a constant limit.
 fn granted_under(reported: f64) -> Vec<u64> {
     let mut table = observed(&[report(reported, 0, 10)]);
-    table.keep(&target(), 1.0, ms(10));
+    table.own(&target(), 1.0, ms(10));
     granted(&mut table, 10, 40_010)
 }
 
@@ -80,7 +80,7 @@
     assert_eq!(limit(&observed(&[new, old])), Some(2.0));
     let (old, new) = (report(2.0, 0, 10), report(None, 10, 20));
     let mut table = observed(&[report(7.0, 0, 5), new]);
-    assert_eq!(table.hear(&target(), old), Heard::Outdated);
+    assert_eq!(table.observe(&target(), old), LimitChange::Outdated);
     assert_eq!(limit(&table), None);
 }
 
@@ -90,7 +90,7 @@
     for order in [[some, other], [other, some]] {
         let mut table = observed(&order);
         assert_eq!(limit(&table), Some(2.0));
-        table.hear(&target(), report(None, 31, 40));
+        table.observe(&target(), report(None, 31, 40));
         assert_eq!(limit(&table), None);
     }
     let table = observed(&[report(2.0, 0, 30), report(3.0, 5, 40)]);
@@ -102,7 +102,7 @@
     let mut table = observed(&[report(None, 0, 10)]);
     assert!(table.is_empty());
     assert_eq!(table.take(&target(), ms(20)), Grant::Unlimited);
-    assert!(!table.is_spent(&target(), ms(20)));
+    assert!(!table.is_exhausted(&target(), ms(20)));
 }
 
 #[test]
@@ -123,7 +123,7 @@
 /// How long a grant may be used after it was requested, in milliseconds.
 fn validity() -> u64 {
     let clearance = Clearance::granted(ms(10));
-    let late = (0..WINDOW).find(|late| !clearance.holds(true, ms(10 + late)));
+    let late = (0..WINDOW).find(|late| !clearance.is_valid(true, ms(10 + late)));
     late.expect("a grant runs out") - 1
 }
 
@@ -149,14 +149,14 @@
 
 #[test]
 fn a_request_that_needed_no_grant_is_held_back_when_a_limit_is_named() {
-    assert!(Clearance::Unlimited.holds(false, ms(10)));
-    assert!(!Clearance::Unlimited.holds(true, ms(10)));
+    assert!(Clearance::Unlimited.is_valid(false, ms(10)));
+    assert!(!Clearance::Unlimited.is_valid(true, ms(10)));
 }
 
 #[test]
 fn nothing_is_saved_up_while_nobody_asks() {
     let mut table = observed(&[report(1.5, 0, 10)]);
-    table.keep(&target(), 1.0, ms(10));
+    table.own(&target(), 1.0, ms(10));
     let granted = granted(&mut table, 60_000, 64_000);
     assert!(granted.len() <= 6, "{}", granted.len());
 }
@@ -164,9 +164,9 @@
 #[test]
 fn a_limit_that_falls_holds_at_once() {
     let mut table = observed(&[report(50.0, 0, 10)]);
-    table.keep(&target(), 1.0, ms(10));
+    table.own(&target(), 1.0, ms(10));
     granted(&mut table, 10, 5_000);
-    table.hear(&target(), report(0.5, 5_000, 5_010));
+    table.observe(&target(), report(0.5, 5_000, 5_010));
     let granted = granted(&mut table, 5_010, 9_010);
     assert!(granted.len() <= 2, "{}", granted.len());
 }
@@ -174,10 +174,10 @@
 #[test]
 fn a_limit_of_zero_is_tried_now_and_then_and_can_be_lifted() {
     let mut table = observed(&[report(0.0, 0, 10)]);
-    table.keep(&target(), 1.0, ms(10));
+    table.own(&target(), 1.0, ms(10));
     let tried = granted(&mut table, 10, 60_010);
     assert!((1..=3).contains(&tried.len()), "{tried:?}");
-    table.hear(&target(), report(None, 60_010, 60_020));
+    table.observe(&target(), report(None, 60_010, 60_020));
     assert_eq!(table.take(&target(), ms(60_030)), Grant::Unlimited);
 }
 
@@ -187,7 +187,7 @@
     let mut all = Vec::new();
     for part in [2.0 / 9.0, 7.0 / 9.0] {
         let mut table = observed(&[report(3.0, 0, 10)]);
-        table.keep(&target(), part, ms(10));
+        table.own(&target(), part, ms(10));
         all.extend(granted(&mut table, 10, 40_010));
     }
     // Each owner may have one token in its bucket.
@@ -197,13 +197,19 @@
 #[test]
 fn a_keeper_grants_nothing_for_what_was_granted_before_it() {
     let mut table = observed(&[report(1.0, 0, 10)]);
-    assert_eq!(table.take(&target(), ms(5_000)), Grant::NotKept);
-    table.keep(&target(), 1.0, ms(5_000));
-    assert!(matches!(table.take(&target(), ms(5_100)), Grant::Spent(_)));
-    table.keep(&target(), 1.0, ms(9_000));
-    table.leave(&target());
-    table.keep(&target(), 1.0, ms(9_100));
-    assert!(matches!(table.take(&target(), ms(9_200)), Grant::Spent(_)));
+    assert_eq!(table.take(&target(), ms(5_000)), Grant::NotOwner);
+    table.own(&target(), 1.0, ms(5_000));
+    assert!(matches!(
+        table.take(&target(), ms(5_100)),
+        Grant::Exhausted(_)
+    ));
+    table.own(&target(), 1.0, ms(9_000));
+    table.disown(&target());
+    table.own(&target(), 1.0, ms(9_100));
+    assert!(matches!(
+        table.take(&target(), ms(9_200)),
+        Grant::Exhausted(_)
+    ));
 }
 
 #[test]
@@ -218,14 +224,14 @@
 #[test]
 fn what_is_told_has_the_same_order_at_another_daemon() {
     let table = observed(&[report(2.0, 1_000, 1_020)]);
-    let update: ToldLimit = table.told(&target(), ms(1_050)).expect("it is known");
+    let update: LimitUpdate = table.update(&target(), ms(1_050)).expect("it is known");
     // The other daemon's clock, 4 ms after the update was sent.
     let mut other = LimitTable::default();
-    other.hear(&target(), update.report(ms(90_004)));
+    other.observe(&target(), update.report(ms(90_004)));
     assert_eq!(limit(&other), Some(2.0));
-    other.hear(&target(), report(None, 89_960, 90_010));
+    other.observe(&target(), report(None, 89_960, 90_010));
     assert_eq!(limit(&other), Some(2.0), "it was sent before");
-    other.hear(&target(), report(None, 89_975, 90_020));
+    other.observe(&target(), report(None, 89_975, 90_020));
     assert_eq!(limit(&other), None);
 }
 
@@ -236,8 +242,8 @@
     table.note_warmup(&target(), rate, ms(10_000));
     assert_eq!(table.limit_at(&target(), ms(9_999)), Some(rate));
     assert_eq!(limit(&table), None, "it reports none");
-    assert!(table.told(&target(), ms(20)).is_none());
-    table.keep(&target(), 1.0, ms(10));
+    assert!(table.update(&target(), ms(20)).is_none());
+    table.own(&target(), 1.0, ms(10));
     let granted = granted(&mut table, 10, 10_000);
     let most = most_in_window(&granted);
     assert!((14..=16).contains(&most), "{most}");
--- a/crates/thistlesill-policy/tests/edge/load.rs
+++ b/crates/thistlesill-policy/tests/edge/load.rs
@@ -8,7 +8,7 @@
 use thistlesill_core::edge::{Engine, Target, TargetId};
 use thistlesill_core::{HallId, Millis};
 use thistlesill_fakes::engines::engine;
-use thistlesill_policy::edge::load::{Knowledge, LoadTable, Wanted, Work};
+use thistlesill_policy::edge::load::{Knowledge, LoadTable, PickRequest, Work};
 
 use crate::leaders::leader;
 
@@ -38,14 +38,14 @@
     now: Millis,
 ) -> usize {
     let hall = HallId::from("h");
-    let wanted = Wanted {
+    let wanted = PickRequest {
         engine,
         prompt: 1_000,
         hall: &hall,
     };
     let both = [&first, &second];
     let mut rng = SmallRng::seed_from_u64(5);
-    let picks = (0..40).filter_map(|_| loads.pick(&both, &wanted, Knowledge::Old, now, &mut rng));
+    let picks = (0..40).filter_map(|_| loads.pick(&both, &wanted, Knowledge::Stale, now, &mut rng));
     picks.filter(|t| t.id == first.id).count()
 }
 
@@ -70,16 +70,16 @@
     let mut loads = LoadTable::default();
     // One prompt whose prefill takes far longer than the objective.
     loads.begin(&a.id, 100_000);
-    let wanted = Wanted {
+    let wanted = PickRequest {
         engine: Some(&engine),
         prompt: 1_000,
         hall: &hall,
     };
-    assert_eq!(loads.overload(&[&a], &wanted, AIM, NOW), None);
+    assert_eq!(loads.lateness(&[&a], &wanted, AIM, NOW), None);
     for _ in 0..16 {
         loads.begin(&a.id, 0);
     }
-    assert!(loads.overload(&[&a], &wanted, AIM, NOW).is_some());
+    assert!(loads.lateness(&[&a], &wanted, AIM, NOW).is_some());
 }
 
 #[test]
@@ -90,7 +90,7 @@
         loads.begin(&"b".into(), 0);
     }
     assert_eq!(wins(&loads, NOW), 0);
-    loads.read(&"a".into(), 6_000);
+    loads.end_prefill(&"a".into(), 6_000);
     assert_eq!(wins(&loads, NOW), 40);
 }
 
@@ -101,7 +101,7 @@
         requests: 10,
         unread: 4_000,
     };
-    loads.hear(
+    loads.set_peer_counts(
         &"peer".into(),
         HashMap::from([("a".into(), work)]),
         NOW + COUNTS_VALIDITY,
@@ -128,7 +128,7 @@
     let (a, b) = (leader("a"), leader("b"));
     let engine = engine();
     let hall = HallId::from("h");
-    let wanted = Wanted {
+    let wanted = PickRequest {
         engine: Some(&engine),
         prompt: 1_000,
         hall: &hall,
@@ -138,16 +138,16 @@
         loads.begin(&"a".into(), 1_000);
     }
     assert_eq!(
-        loads.overload(&[&a, &b], &wanted, AIM, NOW),
+        loads.lateness(&[&a, &b], &wanted, AIM, NOW),
         None,
         "b is free"
     );
     for _ in 0..26 {
         loads.begin(&"b".into(), 1_000);
     }
-    assert!(loads.overload(&[&a, &b], &wanted, AIM, NOW).is_some());
+    assert!(loads.lateness(&[&a, &b], &wanted, AIM, NOW).is_some());
     assert_eq!(
-        loads.overload(&[], &wanted, AIM, NOW),
+        loads.lateness(&[], &wanted, AIM, NOW),
         None,
         "there is no target to wait for"
     );
@@ -159,7 +159,7 @@
     let (near, mut far) = (leader("a"), leader("b"));
     far.hall = "other".into();
     let engine = engine();
-    let wanted = Wanted {
+    let wanted = PickRequest {
         engine: Some(&engine),
         prompt: 600,
         hall: &HallId::from("h"),
@@ -168,7 +168,7 @@
     let mut pick = |loads: &LoadTable| {
         let both = [&near, &far];
         loads
-            .pick(&both, &wanted, Knowledge::Old, NOW, &mut rng)
+            .pick(&both, &wanted, Knowledge::Stale, NOW, &mut rng)
             .map(|t| t.id.clone())
     };
     assert_eq!(pick(&loads), Some("a".into()));
@@ -190,8 +190,12 @@
     loads.note_progress(&id, now);
     loads.suspect(&id, now);
     assert!(loads.is_suspect(&id, now), "no new requests go there");
-    assert_eq!(loads.going_on(now + Millis::new(100)), [id]);
-    assert!(loads.going_on(now + Millis::new(200)).is_empty());
+    assert_eq!(loads.suspects_with_streams(now + Millis::new(100)), [id]);
+    assert!(
+        loads
+            .suspects_with_streams(now + Millis::new(200))
+            .is_empty()
+    );
 }
 
 /// A target without free slots answers faster than any other, so its average duration kept it the
--- a/crates/thistlesill-policy/tests/edge/owner.rs
+++ b/crates/thistlesill-policy/tests/edge/owner.rs
@@ -8,8 +8,8 @@
 use thistlesill_core::edge::{Target, TargetId};
 use thistlesill_core::{HallId, Millis, NodeId};
 use thistlesill_fakes::engines::engine;
-use thistlesill_policy::edge::load::{Knowledge, LoadTable, Wanted, Work};
-use thistlesill_policy::edge::owner::{Answering, Scope};
+use thistlesill_policy::edge::load::{Knowledge, LoadTable, PickRequest, Work};
+use thistlesill_policy::edge::owner::{OwnerHealth, Scope};
 
 use crate::leaders::leader;
 
@@ -61,12 +61,12 @@
             let id = TargetId::from(format!("t{target}"));
             let work = Work { requests: u32::from(kind), unread: u32::from(unread) };
             if kind % 3 == 0 {
-                loads.grant(&name, &id, u32::from(unread), until);
+                loads.add_granted(&name, &id, u32::from(unread), until);
                 let counts = peers.entry(peer).or_insert((until, HashMap::new()));
                 let one = Work { requests: 1, unread: u32::from(unread) };
                 *counts.1.entry(target).or_default() += one;
             } else {
-                loads.hear(&name, HashMap::from([(id, work)]), until);
+                loads.set_peer_counts(&name, HashMap::from([(id, work)]), until);
                 peers.insert(peer, (until, HashMap::from([(target, work)])));
             }
             if kind % 4 == 0 {
@@ -90,7 +90,7 @@
 #[test]
 fn an_owner_that_does_not_answer_is_left_alone_for_a_while() {
     let owner = NodeId::from("o");
-    let mut health = Answering::default();
+    let mut health = OwnerHealth::default();
     let now = Millis::new(5_000);
     health.missed(&owner, now);
     assert!(health.may_ask(&owner, now), "a datagram may be lost");
@@ -111,7 +111,7 @@
     let until = now + Millis::new(800);
     let work = |requests, unread| Work { requests, unread };
     loads.begin(&id, 500);
-    loads.hear_total(id.clone(), work(7, 200), until);
+    loads.set_total(id.clone(), work(7, 200), until);
     assert_eq!(loads.work(&id, now), work(7, 500));
     assert_eq!(loads.work(&id, until), work(1, 500));
 }
@@ -154,7 +154,7 @@
                 *daemon
             };
             if *read == now {
-                tables[table].read(&groups[*group].id, *prompt);
+                tables[table].end_prefill(&groups[*group].id, *prompt);
             }
             if *ends == now {
                 tables[table].end(&groups[*group].id);
@@ -169,13 +169,13 @@
         }
         let prompt = rng.random_range(200..4_000);
         let daemon = rng.random_range(0..DAEMONS);
-        let wanted = Wanted {
+        let wanted = PickRequest {
             engine: Some(&engine),
             prompt,
             hall: &hall,
         };
         let (table, knowledge) = match chooser {
-            Chooser::Each => (daemon, Knowledge::Old),
+            Chooser::Each => (daemon, Knowledge::Stale),
             Chooser::Owner => (0, Knowledge::Exact),
         };
         let target = tables[table].pick(&candidates, &wanted, knowledge, at, &mut rng);
@@ -202,7 +202,7 @@
             let counts: HashMap<TargetId, Work> = tables[from].counts().into_iter().collect();
             for (to, table) in tables.iter_mut().enumerate() {
                 if to != from {
-                    table.hear(&daemons[from], counts.clone(), until);
+                    table.set_peer_counts(&daemons[from], counts.clone(), until);
                 }
             }
         }
--- a/crates/thistlesill-policy/tests/edge/restarts.rs
+++ b/crates/thistlesill-policy/tests/edge/restarts.rs
@@ -2,7 +2,7 @@
 
 use thistlesill_core::Millis;
 use thistlesill_core::edge::{GroupRef, Incarnation, MemberState, Order, Target, TargetId};
-use thistlesill_policy::edge::book::{Listing, RELIST, TargetBook};
+use thistlesill_policy::edge::book::{Listing, RELIST_GRACE, TargetRegistry};
 use thistlesill_policy::edge::feed::{Batch, Change, Feed};
 use thistlesill_policy::edge::fleet::{Condition, FleetPlanner};
 use thistlesill_policy::edge::load::{LoadTable, Work};
@@ -19,8 +19,8 @@
     TargetId::new(instance.into(), incarnation)
 }
 
-fn book() -> TargetBook {
-    let mut book = TargetBook::default();
+fn book() -> TargetRegistry {
+    let mut book = TargetRegistry::default();
     book.store_answered(NOW);
     book.apply(
         vec![listed(target_id("a", FIRST)), listed(target_id("b", FIRST))],
@@ -30,7 +30,7 @@
     book
 }
 
-fn serving(book: &TargetBook) -> Vec<TargetId> {
+fn serving(book: &TargetRegistry) -> Vec<TargetId> {
     let serving = book.serving(&"s".into(), None).iter();
     serving.map(|t| t.id.clone()).collect()
 }
@@ -43,7 +43,9 @@
         serving(&book),
         [target_id("a", RESTARTED), target_id("b", FIRST)]
     );
-    assert!(book.knows(&target_id("a", RESTARTED)) && !book.knows(&target_id("a", FIRST)));
+    assert!(
+        book.is_current(&target_id("a", RESTARTED)) && !book.is_current(&target_id("a", FIRST))
+    );
     assert_eq!(book.count(), 2);
 }
 
@@ -55,7 +57,7 @@
     book.store_answered(back);
     book.apply(vec![Listing::Gone("a".into())], None, back);
     assert!(
-        book.knows(&target_id("a", FIRST)),
+        book.is_current(&target_id("a", FIRST)),
         "the entry may only have expired"
     );
     book.apply(vec![listed(target_id("a", RESTARTED))], None, back);
@@ -64,7 +66,7 @@
         [target_id("a", RESTARTED), target_id("b", FIRST)]
     );
     assert!(
-        !book.expire(None, back + RELIST),
+        !book.expire(None, back + RELIST_GRACE),
         "the new incarnation is listed"
     );
     assert_eq!(book.count(), 2);
@@ -87,7 +89,7 @@
     // Unlike an entry that expires just after the store came back, this one is not kept.
     book.apply(vec![Listing::Unusable("a".into())], None, NOW);
     assert_eq!(serving(&book), [target_id("b", FIRST)]);
-    assert_eq!(book.life(&"a".into()), None);
+    assert_eq!(book.incarnation(&"a".into()), None);
     book.apply(vec![listed(target_id("a", FIRST))], None, NOW);
     assert_eq!(book.count(), 2, "its target registered again");
 }
@@ -108,13 +110,13 @@
 fn lives_told_of_in_the_wrong_order_end_as_the_store_has_them() {
     let change = |version, id| Change {
         version,
-        what: listed(id),
+        entry: listed(id),
     };
     let batch = |before, after, list| Batch {
         before,
         after,
-        list,
-        steady: None,
+        changes: list,
+        store_uptime: None,
     };
     let mut feed = Feed::default();
     feed.restart(10);
@@ -129,14 +131,18 @@
     let mut apply_from = |first: Option<Batch>, feed: &mut Feed| {
         let mut next = first;
         while let Some(batch) = next {
-            let new_changes = feed.unknown(batch.list);
+            let new_changes = feed.unknown(batch.changes);
             feed.extend(&new_changes, batch.after);
-            book.apply(new_changes.into_iter().map(|c| c.what).collect(), None, NOW);
+            book.apply(
+                new_changes.into_iter().map(|c| c.entry).collect(),
+                None,
+                NOW,
+            );
             next = feed.next_held();
         }
     };
     for batch in [late.clone(), early.clone(), late, early] {
-        let first = feed.order(batch);
+        let first = feed.accept(batch);
         apply_from(first, &mut feed);
     }
     assert_eq!(
@@ -151,7 +157,7 @@
     let (old, new) = (target_id("a", FIRST), target_id("a", RESTARTED));
     loads.begin(&old, 100);
     loads.suspect(&old, NOW);
-    loads.grant(&"peer".into(), &old, 100, NOW + Millis::new(900));
+    loads.add_granted(&"peer".into(), &old, 100, NOW + Millis::new(900));
     assert!(!loads.is_suspect(&new, NOW));
     assert_eq!(loads.work(&new, NOW), Work::default());
     loads.end(&old);
--- a/crates/thistlesill-policy/tests/edge/spread.rs
+++ b/crates/thistlesill-policy/tests/edge/spread.rs
@@ -4,7 +4,7 @@
 
 use thistlesill_core::{HallId, NodeId};
 use thistlesill_policy::edge::spread::{
-    RELAYS, delegate, has_relays, is_near, parts, well_connected,
+    RELAYS, delegate, is_near, parts, uses_relays, well_connected,
 };
 
 const HALLS: usize = 5;
@@ -49,7 +49,7 @@
 #[test]
 fn each_daemon_hears_a_change_from_the_relays_of_its_data_centre_only() {
     for daemons in [100, 300, 984, 2_000] {
-        assert!(has_relays(daemons));
+        assert!(uses_relays(daemons));
         let fleet = fleet(daemons);
         let (received, crossed) = spread(&fleet);
         assert_eq!(received.len(), daemons, "all of {daemons} receive it");
--- a/crates/thistlesill-policy/tests/quarantine.rs
+++ b/crates/thistlesill-policy/tests/quarantine.rs
@@ -4,7 +4,7 @@
 use quickcheck::quickcheck;
 use thistlesill_core::edge::TargetId;
 use thistlesill_core::{Fingerprint, Millis, Verdict};
-use thistlesill_policy::quarantine::{Quarantine, Standing};
+use thistlesill_policy::quarantine::{Quarantine, QuarantineStatus};
 
 const START: Millis = Millis::new(1_000_000);
 
@@ -37,14 +37,14 @@
 fn the_third_target_that_is_lost_under_a_request_withholds_it() {
     let (known, verdict) = lost(print(1), 0..2);
     assert_eq!(verdict, None);
-    assert_eq!(known.standing(print(1), after(300)), Standing::Free);
+    assert_eq!(known.status(print(1), after(300)), QuarantineStatus::Free);
     let (known, verdict) = lost(print(1), 0..3);
     assert!(verdict.is_some_and(|v| v.level == 1));
     assert!(matches!(
-        known.standing(print(1), after(300)),
-        Standing::Withheld(_)
+        known.status(print(1), after(300)),
+        QuarantineStatus::Withheld(_)
     ));
-    assert_eq!(known.standing(print(2), after(300)), Standing::Free);
+    assert_eq!(known.status(print(2), after(300)), QuarantineStatus::Free);
 }
 
 #[test]
@@ -53,7 +53,7 @@
     for _ in 0..5 {
         assert_eq!(known.note_lost(print(1), &target(7), START), None);
     }
-    assert_eq!(known.standing(print(1), START), Standing::Free);
+    assert_eq!(known.status(print(1), START), QuarantineStatus::Free);
 }
 
 #[test]
@@ -67,7 +67,7 @@
         known.note_lost(print(other), &target(1), after(300));
     }
     for other in 1..=20 {
-        assert!(known.note_good(print(other), after(900)).is_some());
+        assert!(known.note_success(print(other), after(900)).is_some());
     }
     assert!(known.note_lost(fatal, &target(2), after(1_000)).is_some());
     for other in 1..=20 {
@@ -76,7 +76,10 @@
             known.note_lost(print(other), &target(9), after(2_000)),
             None
         );
-        assert_eq!(known.standing(print(other), after(2_000)), Standing::Free);
+        assert_eq!(
+            known.status(print(other), after(2_000)),
+            QuarantineStatus::Free
+        );
     }
 }
 
@@ -87,16 +90,19 @@
     let hour = now + Millis::new(3_600_000);
     while now < hour {
         now = now + Millis::new(100);
-        match known.standing(print(1), now) {
-            Standing::Free => panic!("it is free although it crashed {sent} targets"),
-            Standing::Trial => {
+        match known.status(print(1), now) {
+            QuarantineStatus::Free => panic!("it is free although it crashed {sent} targets"),
+            QuarantineStatus::Trial => {
                 sent += 1;
                 assert!(known.begin_trial(print(1), now).is_some());
-                assert!(matches!(known.standing(print(1), now), Standing::Tried(_)));
+                assert!(matches!(
+                    known.status(print(1), now),
+                    QuarantineStatus::Tried(_)
+                ));
                 let verdict = known.note_lost(print(1), &target(sent), now);
                 assert!(verdict.is_some(), "the trial crashed a target");
             }
-            Standing::Withheld(_) | Standing::Tried(_) => {}
+            QuarantineStatus::Withheld(_) | QuarantineStatus::Tried(_) => {}
         }
     }
     assert_eq!(
@@ -115,15 +121,15 @@
     let trial = here.begin_trial(print(1), later).expect("it may be tried");
     assert!(there.receive(trial, later));
     assert!(matches!(
-        there.standing(print(1), later),
-        Standing::Tried(_)
+        there.status(print(1), later),
+        QuarantineStatus::Tried(_)
     ));
     let good = here
-        .note_good(print(1), later)
+        .note_success(print(1), later)
         .expect("a verdict is returned");
     assert!(there.receive(good, later));
     for known in [&here, &there] {
-        assert_eq!(known.standing(print(1), later), Standing::Free);
+        assert_eq!(known.status(print(1), later), QuarantineStatus::Free);
     }
     // A daemon that was disconnected and broadcasts the old verdict changes nothing.
     assert!(!there.receive(verdict.expect("it was withheld"), later));
@@ -144,26 +150,26 @@
     assert_eq!(known.withheld(now), 13);
     now = now + Millis::new(1_000);
     for innocent in 1..4 {
-        assert_eq!(known.standing(print(innocent), now), Standing::Trial);
+        assert_eq!(known.status(print(innocent), now), QuarantineStatus::Trial);
         known.begin_trial(print(innocent), now);
         for waiting in (0..13).filter(|w| *w != innocent && !(1..innocent).contains(w)) {
             assert!(matches!(
-                known.standing(print(waiting), now),
-                Standing::Withheld(_)
+                known.status(print(waiting), now),
+                QuarantineStatus::Withheld(_)
             ));
         }
         now = now + Millis::new(500);
-        assert!(known.note_good(print(innocent), now).is_some());
+        assert!(known.note_success(print(innocent), now).is_some());
     }
     known.begin_trial(print(0), now);
     now = now + Millis::new(300);
     assert!(known.note_lost(print(0), &target(3), now).is_some());
     assert!(matches!(
-        known.standing(print(0), now + Millis::new(100_000)),
-        Standing::Withheld(_)
+        known.status(print(0), now + Millis::new(100_000)),
+        QuarantineStatus::Withheld(_)
     ));
     for innocent in 1..13 {
-        assert_eq!(known.standing(print(innocent), now), Standing::Free);
+        assert_eq!(known.status(print(innocent), now), QuarantineStatus::Free);
     }
 }
 
@@ -173,14 +179,20 @@
     known.begin_trial(print(1), after(2_000));
     assert!(known.end_trial(print(1), after(2_100)).is_some());
     assert_eq!(known.end_trial(print(1), after(2_100)), None);
-    assert_eq!(known.standing(print(1), after(4_000)), Standing::Trial);
+    assert_eq!(
+        known.status(print(1), after(4_000)),
+        QuarantineStatus::Trial
+    );
 }
 
 #[test]
 fn a_trial_without_an_outcome_is_followed_by_another() {
     let (mut known, _) = lost(print(1), 0..3);
     known.begin_trial(print(1), after(2_000));
-    assert_eq!(known.standing(print(1), after(60_000)), Standing::Trial);
+    assert_eq!(
+        known.status(print(1), after(60_000)),
+        QuarantineStatus::Trial
+    );
 }
 
 #[test]
@@ -204,7 +216,7 @@
     let (mut here, _) = lost(print(1), 0..2);
     let (mut there, _) = lost(print(1), 0..2);
     let good = here
-        .note_good(print(1), after(500))
+        .note_success(print(1), after(500))
         .expect("a verdict is returned");
     assert!(there.receive(good, after(500)));
     assert!(here.is_empty() && there.is_empty());
@@ -217,8 +229,8 @@
         known.note_lost(print(number), &target(number), after(1_000));
     }
     assert!(matches!(
-        known.standing(print(0), after(1_000)),
-        Standing::Withheld(_)
+        known.status(print(0), after(1_000)),
+        QuarantineStatus::Withheld(_)
     ));
     let mut many = Quarantine::default();
     for number in 0..20_000 {
@@ -239,9 +251,9 @@
             now = now + Millis::new(700);
             let print = print(u32::from(request % 3));
             let known = &mut daemons[usize::from(daemon % 3)];
-            let is_trial = known.standing(print, now) == Standing::Trial;
+            let is_trial = known.status(print, now) == QuarantineStatus::Trial;
             let _ = match event % 8 {
-                0 => known.note_good(print, now),
+                0 => known.note_success(print, now),
                 1 if is_trial => known.begin_trial(print, now),
                 _ => known.note_lost(print, &target(u32::from(event)), now),
             };
@@ -288,8 +300,8 @@
     let (fatal, beside) = (print(0), print(1));
     let (mut a, mut b) = two_that_saw_both_lost(&[fatal, beside]);
     let tried = after(1_300);
-    assert_eq!(a.standing(beside, tried), Standing::Trial);
-    assert_eq!(b.standing(fatal, tried), Standing::Trial);
+    assert_eq!(a.status(beside, tried), QuarantineStatus::Trial);
+    assert_eq!(b.status(fatal, tried), QuarantineStatus::Trial);
     let by_a = a.begin_trial(beside, tried).expect("it is withheld");
     let by_b = b.begin_trial(fatal, tried).expect("it is withheld");
     // Each daemon receives the other's trial some milliseconds later.
@@ -305,9 +317,9 @@
         b.receive(verdict, after(1_323));
     }
     // A fatal request is withheld for two minutes; this one may be tried again soon.
-    let left = match a.standing(beside, after(1_330)) {
-        Standing::Withheld(left) | Standing::Tried(left) => left,
-        Standing::Free | Standing::Trial => Millis::ZERO,
+    let left = match a.status(beside, after(1_330)) {
+        QuarantineStatus::Withheld(left) | QuarantineStatus::Tried(left) => left,
+        QuarantineStatus::Free | QuarantineStatus::Trial => Millis::ZERO,
     };
     assert!(left <= Millis::new(15_000), "withheld for {left}");
 }
@@ -373,18 +385,18 @@
         while now < end {
             now = now + Millis::new(100);
             for request in [fatal, beside] {
-                if a.standing(request, now) == Standing::Trial {
+                if a.status(request, now) == QuarantineStatus::Trial {
                     a.begin_trial(request, now);
                     if request == fatal {
                         a.note_lost(request, &target(10), now);
                     } else {
-                        a.note_good(request, now);
+                        a.note_success(request, now);
                     }
                 }
             }
         }
-        assert_eq!(a.standing(beside, now), Standing::Free, "{early}");
-        let Standing::Withheld(left) = a.standing(fatal, now) else {
+        assert_eq!(a.status(beside, now), QuarantineStatus::Free, "{early}");
+        let QuarantineStatus::Withheld(left) = a.status(fatal, now) else {
             panic!("the fatal request is free after {early} messages came early");
         };
         assert!(left > Millis::new(90_000), "withheld for {left}");
