--- a/crates/thistlesill-policy/src/edge/admission.rs
+++ b/crates/thistlesill-policy/src/edge/admission.rs
@@ -58,13 +58,13 @@
     catalog: Option<&Catalog>,
     fresh: &Freshness,
     bounds: &Bounds,
-    asking: &AdmissionRequest<'_>,
+    request: &AdmissionRequest<'_>,
     now: Millis,
     rng: &mut impl rand::Rng,
 ) -> Result<Admission, ErrorKind> {
     let catalog = catalog.ok_or(ErrorKind::NotReady)?;
     let route = catalog
-        .route(asking.host, asking.path)
+        .route(request.host, request.path)
         .ok_or(ErrorKind::NotFound)?;
     let mut customer = None;
     let mut priority = route.priority;
@@ -72,7 +72,7 @@
         if !fresh.permits(bounds.revoke, now) {
             return Err(ErrorKind::NotReady);
         }
-        let Key::Given(key) = asking.key else {
+        let Key::Given(key) = request.key else {
             return Err(ErrorKind::Unauthorized);
         };
         let holder = catalog.holder(key).ok_or(ErrorKind::Unauthorized)?;
@@ -80,30 +80,30 @@
         priority = holder.priority.unwrap_or(priority);
     }
     let service = draw_service(catalog, route, rng).ok_or(ErrorKind::NoGroup)?;
-    let limit = asking.deadline.unwrap_or(route.timeout).min(route.timeout);
+    let timeout = request.deadline.unwrap_or(route.timeout).min(route.timeout);
     Ok(Admission {
         version: catalog.version,
         route: route.clone(),
         service,
         customer,
         priority,
-        timeout: limit,
+        timeout,
     })
 }
 
 /// Time in which the balancer notices that a stopping daemon accepts no new callers: it asks once a
-/// second and acts on the second such answer.
+/// second and acts on the second answer that says so.
 pub const BALANCER_DETECTION: Millis = Millis::new(2_600);
 
 /// Returns whether a daemon that began to stop `gone` ago still accepts a request that may last for
-/// `limit`, where the daemon must exit within `grace`.
+/// `timeout`, where the daemon must exit within `grace`.
 ///
 /// Until the balancer has noticed, callers cannot avoid the daemon. Later callers arrive only if
 /// the balancer has no other daemon, and a request that does not end within `grace` would be cut
 /// off.
 #[must_use]
-pub fn accepts_while_stopping(gone: Millis, limit: Millis, grace: Millis) -> bool {
-    gone < BALANCER_DETECTION || gone + limit < grace
+pub fn accepts_while_stopping(gone: Millis, timeout: Millis, grace: Millis) -> bool {
+    gone < BALANCER_DETECTION || gone + timeout < grace
 }
 
 /// Draws one of the route's services by weight.
--- a/crates/thistlesill-policy/src/edge/asked.rs
+++ b/crates/thistlesill-policy/src/edge/asked.rs
@@ -85,14 +85,14 @@
 
 impl DemandMeter {
     /// Records a request that arrived, whether or not it was refused.
-    pub fn record(&mut self, service: &ServiceName, asked: &DemandSample<'_>, now: Millis) {
-        let Some(work) = asked.work() else { return };
+    pub fn record(&mut self, service: &ServiceName, sample: &DemandSample<'_>, now: Millis) {
+        let Some(work) = sample.work() else { return };
         self.started_at.get_or_insert(now);
-        let key = (service.clone(), asked.model.clone());
+        let key = (service.clone(), sample.model.clone());
         let average = self.averages.entry(key).or_default();
         average.decay(now);
         average.sum += work;
-        average.requests += asked.weight();
+        average.requests += sample.weight();
     }
 
     /// Returns the average time of a group that one request of a model takes up, in milliseconds;
--- a/crates/thistlesill-policy/src/edge/beats.rs
+++ b/crates/thistlesill-policy/src/edge/beats.rs
@@ -42,7 +42,7 @@
     near: Millis,
     all: Option<Millis>,
     planner: Millis,
-    asked: Millis,
+    demand: Millis,
 }
 
 impl HeartbeatSchedule {
@@ -53,32 +53,37 @@
             near: now,
             all: None,
             planner: now,
-            asked: now,
+            demand: now,
         }
     }
 
     /// Returns the message that is due, and counts that message as sent. Heartbeats to all peers
     /// are due only once the list of peers is available (`listed`).
-    pub fn next(&mut self, gaps: &HeartbeatIntervals, listed: bool, now: Millis) -> DueHeartbeat {
-        let all = self.all.map_or(now, |at| at + gaps.all);
+    pub fn next(
+        &mut self,
+        intervals: &HeartbeatIntervals,
+        listed: bool,
+        now: Millis,
+    ) -> DueHeartbeat {
+        let all = self.all.map_or(now, |at| at + intervals.all);
         if listed && now >= all {
             (self.all, self.near, self.planner) = (Some(now), now, now);
             return DueHeartbeat::All;
         }
-        if now >= self.near + gaps.near {
+        if now >= self.near + intervals.near {
             self.near = now;
             return DueHeartbeat::Near;
         }
-        if now >= self.planner + gaps.planner {
+        if now >= self.planner + intervals.planner {
             self.planner = now;
             return DueHeartbeat::Planner;
         }
-        if now >= self.asked + gaps.demand {
-            self.asked = now;
+        if now >= self.demand + intervals.demand {
+            self.demand = now;
             return DueHeartbeat::Demand;
         }
-        let next = (self.near + gaps.near).min(self.planner + gaps.planner);
-        let next = next.min(self.asked + gaps.demand);
+        let next = (self.near + intervals.near).min(self.planner + intervals.planner);
+        let next = next.min(self.demand + intervals.demand);
         DueHeartbeat::Wait(if listed { next.min(all) } else { next })
     }
 }
--- a/crates/thistlesill-policy/src/edge/feed.rs
+++ b/crates/thistlesill-policy/src/edge/feed.rs
@@ -215,10 +215,13 @@
             return None;
         }
         let first = (version.saturating_add(1), InstanceId::default());
-        let changes = self.kept.range(first..).map(|((version, _), what)| Change {
-            version: *version,
-            entry: what.clone(),
-        });
+        let changes = self
+            .kept
+            .range(first..)
+            .map(|((version, _), entry)| Change {
+                version: *version,
+                entry: entry.clone(),
+            });
         Some(changes.collect())
     }
 }
--- a/crates/thistlesill-policy/src/edge/limit.rs
+++ b/crates/thistlesill-policy/src/edge/limit.rs
@@ -16,15 +16,15 @@
 use thistlesill_core::edge::{RateLimit, TargetId};
 
 /// Part of a limit that is granted. Together with the burst and the time for which a grant stays
-/// usable, it adds up to at most the limit in any four seconds.
+/// usable, it adds up to the limit in any four seconds, and never to more.
 const GRANTED_RATIO: f64 = 0.95;
 /// Time whose requests may accumulate, in seconds, for callers that arrive together.
 const BURST_SECONDS: f64 = 0.1;
 /// How long a grant may be used after it was requested. A grant that a frozen daemon or a slow
 /// connection delayed would fall into the same window as grants that were given later.
 const GRANT_VALIDITY: Millis = Millis::new(100);
-/// Lowest rate at which requests are granted, in requests per second. Only an answer reveals that a
-/// limit was lifted, also a limit of zero, so some requests must go through.
+/// Lowest rate at which requests are granted, in requests per second, also under a limit of zero:
+/// only the answer to a request shows that a limit was lifted.
 const MIN_RATE_PER_SECOND: f64 = 0.05;
 /// How long a lifted limit is remembered: longer than the delay of an answer that still reports the
 /// previous limit.
@@ -388,8 +388,9 @@
     /// Returns the limits of the targets that this daemon owns, in the form that is sent to other
     /// daemons.
     pub fn owned_updates(&self, now: Millis) -> Vec<LimitUpdate> {
-        let kept = self.targets.iter().filter(|(_, l)| l.bucket.is_some());
-        kept.filter_map(|(id, l)| Some(LimitUpdate::new(id, &l.report?, now)))
+        let owned = self.targets.iter().filter(|(_, l)| l.bucket.is_some());
+        owned
+            .filter_map(|(id, l)| Some(LimitUpdate::new(id, &l.report?, now)))
             .collect()
     }
 
--- a/crates/thistlesill-policy/src/edge/load.rs
+++ b/crates/thistlesill-policy/src/edge/load.rs
@@ -17,8 +17,8 @@
 use self::peers::PeerCounts;
 pub use self::work::Work;
 
-/// Number of targets sampled in the own data centre, by a daemon that knows the load of other
-/// daemons only from older reports.
+/// Number of targets sampled in the own data centre to pick the best of, by a daemon that knows the
+/// load of other daemons only from older reports.
 const NEAR_SAMPLES: usize = 4;
 /// Number of targets sampled in other data centres, in addition. Their load is known less
 /// precisely, and daemons with the same knowledge should not all pick the same target.
@@ -308,19 +308,19 @@
 
     /// Returns the expected duration of one more request at a target, in milliseconds, with the
     /// penalty for another data centre.
-    fn expected_ms(&self, target: &Target, wanted: &PickRequest<'_>, now: Millis) -> f64 {
+    fn expected_ms(&self, target: &Target, request: &PickRequest<'_>, now: Millis) -> f64 {
         let mut work = self.work(&target.id, now);
-        let far = if target.hall == *wanted.hall {
+        let far = if target.hall == *request.hall {
             0.0
         } else {
             FAR_PENALTY_MS
         };
-        let Some(engine) = wanted.engine else {
+        let Some(engine) = request.engine else {
             let slots = f64::from(target.slots.max(1));
             let duration = self.targets.get(&target.id).map_or(0.0, |l| l.duration);
             return far + duration.max(1.0) * (1.0 + f64::from(work.requests) / slots);
         };
-        work.unread += wanted.prompt;
+        work.unread += request.prompt;
         let pass = Pass::of(target, engine, work);
         let duration = pass.begin(engine, work) + ANSWER_WEIGHT * pass.answer(engine);
         far + duration * self.slowdown(&target.id, now)
@@ -334,11 +334,11 @@
     pub fn lateness(
         &self,
         candidates: &[&Target],
-        wanted: &PickRequest<'_>,
+        request: &PickRequest<'_>,
         aim: Millis,
         now: Millis,
     ) -> Option<Millis> {
-        let engine = wanted.engine?;
+        let engine = request.engine?;
         let mut least = f64::MAX;
         for target in candidates {
             let mut work = self.work(&target.id, now);
@@ -346,7 +346,7 @@
             if !busy && !self.is_suspect(&target.id, now) {
                 return None;
             }
-            work.unread += wanted.prompt;
+            work.unread += request.prompt;
             let begin = Pass::of(target, engine, work).begin(engine, work);
             least = least.min(begin * self.slowdown(&target.id, now));
         }
@@ -376,7 +376,7 @@
     pub fn pick<'a>(
         &self,
         candidates: &[&'a Target],
-        wanted: &PickRequest<'_>,
+        request: &PickRequest<'_>,
         knowledge: Knowledge,
         now: Millis,
         rng: &mut impl rand::Rng,
@@ -392,7 +392,7 @@
             return None;
         }
         let (near, far): (Vec<&Target>, Vec<&Target>) =
-            pool.iter().copied().partition(|t| t.hall == *wanted.hall);
+            pool.iter().copied().partition(|t| t.hall == *request.hall);
         let near_samples = match knowledge {
             Knowledge::Exact => near.len(),
             Knowledge::Stale => NEAR_SAMPLES,
@@ -401,7 +401,7 @@
         sample.extend(draw(&far, FAR_SAMPLES, rng));
         let expected = sample
             .into_iter()
-            .map(|t| (self.expected_ms(t, wanted, now), t));
+            .map(|t| (self.expected_ms(t, request, now), t));
         let best = expected.min_by(|(a, _), (b, _)| a.total_cmp(b));
         best.map(|(_, target)| target)
     }
--- a/crates/thistlesill-policy/tests/edge/asked.rs
+++ b/crates/thistlesill-policy/tests/edge/asked.rs
@@ -19,14 +19,14 @@
     let (engine, model) = (engine(), Model::from("large"));
     let mut now = from;
     while now < from + time {
-        let asked = DemandSample {
+        let sample = DemandSample {
             engine: &engine,
             model: &model,
             prompt: 1_840,
             answer: Some(50),
             refused,
         };
-        meter.record(&"s".into(), &asked, now);
+        meter.record(&"s".into(), &sample, now);
         now = now + GAP;
     }
     now
@@ -73,14 +73,14 @@
 fn models_that_the_service_does_not_run_count_nothing() {
     let mut meter = DemandMeter::default();
     let (engine, model) = (engine(), Model::from("unknown"));
-    let asked = DemandSample {
+    let sample = DemandSample {
         engine: &engine,
         model: &model,
         prompt: 1_000,
         answer: None,
         refused: false,
     };
-    meter.record(&"s".into(), &asked, start());
+    meter.record(&"s".into(), &sample, start());
     assert!(meter.work(start()).is_empty());
 }
 
--- a/crates/thistlesill-policy/tests/edge/beats.rs
+++ b/crates/thistlesill-policy/tests/edge/beats.rs
@@ -8,12 +8,12 @@
 }
 
 /// The times at which messages of one kind are sent during some seconds.
-fn sent(gaps: &HeartbeatIntervals, kind: DueHeartbeat, seconds: u64) -> Vec<Millis> {
+fn sent(intervals: &HeartbeatIntervals, kind: DueHeartbeat, seconds: u64) -> Vec<Millis> {
     let mut schedule = HeartbeatSchedule::new(ms(0));
     let mut sent = Vec::new();
     let mut now = ms(0);
     while now < ms(seconds * 1_000) {
-        match schedule.next(gaps, true, now) {
+        match schedule.next(intervals, true, now) {
             DueHeartbeat::Wait(until) => {
                 assert!(until > now, "{until} is not after {now}");
                 now = until;
@@ -26,8 +26,8 @@
 }
 
 fn longest(sent: &[Millis]) -> Millis {
-    let gaps = sent.windows(2).map(|pair| pair[1] - pair[0]);
-    gaps.max().unwrap_or(Millis::ZERO)
+    let intervals = sent.windows(2).map(|pair| pair[1] - pair[0]);
+    intervals.max().unwrap_or(Millis::ZERO)
 }
 
 /// When all intervals were checked only as often as heartbeats to the own data centre are due, 3.2
@@ -36,34 +36,34 @@
 #[test]
 fn a_planner_of_a_large_data_centre_is_heard_as_often_as_that_of_a_small_one() {
     for daemons in [3_u64, 200, 400] {
-        let gaps = HeartbeatIntervals {
+        let intervals = HeartbeatIntervals {
             near: ms(150.max(16 * daemons)),
             all: ms(400),
             planner: ms(3_300),
             demand: ms(1_000),
         };
-        assert_eq!(longest(&sent(&gaps, DueHeartbeat::All, 30)), ms(400));
-        let asked = sent(&gaps, DueHeartbeat::Demand, 30);
-        assert!(asked.len() >= 29, "{} reports", asked.len());
+        assert_eq!(longest(&sent(&intervals, DueHeartbeat::All, 30)), ms(400));
+        let demand = sent(&intervals, DueHeartbeat::Demand, 30);
+        assert!(demand.len() >= 29, "{} reports", demand.len());
     }
 }
 
 #[test]
 fn each_kind_keeps_its_own_gap() {
-    let gaps = HeartbeatIntervals {
+    let intervals = HeartbeatIntervals {
         near: ms(3_200),
         all: ms(33_000),
         planner: ms(3_300),
         demand: ms(1_000),
     };
-    assert_eq!(sent(&gaps, DueHeartbeat::All, 100).len(), 4);
-    assert!((27..=31).contains(&sent(&gaps, DueHeartbeat::Near, 100).len()));
-    assert!((26..=30).contains(&sent(&gaps, DueHeartbeat::Planner, 100).len()));
+    assert_eq!(sent(&intervals, DueHeartbeat::All, 100).len(), 4);
+    assert!((27..=31).contains(&sent(&intervals, DueHeartbeat::Near, 100).len()));
+    assert!((26..=30).contains(&sent(&intervals, DueHeartbeat::Planner, 100).len()));
 }
 
 #[test]
 fn all_are_told_as_soon_as_the_list_of_them_is_there() {
-    let gaps = HeartbeatIntervals {
+    let intervals = HeartbeatIntervals {
         near: ms(300),
         all: ms(900),
         planner: ms(300),
@@ -71,12 +71,12 @@
     };
     let mut schedule = HeartbeatSchedule::new(ms(0));
     assert_eq!(
-        schedule.next(&gaps, false, ms(0)),
+        schedule.next(&intervals, false, ms(0)),
         DueHeartbeat::Wait(ms(300))
     );
-    assert_eq!(schedule.next(&gaps, true, ms(10)), DueHeartbeat::All);
+    assert_eq!(schedule.next(&intervals, true, ms(10)), DueHeartbeat::All);
     assert_eq!(
-        schedule.next(&gaps, true, ms(10)),
+        schedule.next(&intervals, true, ms(10)),
         DueHeartbeat::Wait(ms(310))
     );
 }
--- a/crates/thistlesill-policy/tests/edge/load.rs
+++ b/crates/thistlesill-policy/tests/edge/load.rs
@@ -38,14 +38,15 @@
     now: Millis,
 ) -> usize {
     let hall = HallId::from("h");
-    let wanted = PickRequest {
+    let request = PickRequest {
         engine,
         prompt: 1_000,
         hall: &hall,
     };
     let both = [&first, &second];
     let mut rng = SmallRng::seed_from_u64(5);
-    let picks = (0..40).filter_map(|_| loads.pick(&both, &wanted, Knowledge::Stale, now, &mut rng));
+    let picks =
+        (0..40).filter_map(|_| loads.pick(&both, &request, Knowledge::Stale, now, &mut rng));
     picks.filter(|t| t.id == first.id).count()
 }
 
@@ -70,16 +71,16 @@
     let mut loads = LoadTable::default();
     // One prompt whose prefill takes far longer than the objective.
     loads.begin(&a.id, 100_000);
-    let wanted = PickRequest {
+    let request = PickRequest {
         engine: Some(&engine),
         prompt: 1_000,
         hall: &hall,
     };
-    assert_eq!(loads.lateness(&[&a], &wanted, AIM, NOW), None);
+    assert_eq!(loads.lateness(&[&a], &request, AIM, NOW), None);
     for _ in 0..16 {
         loads.begin(&a.id, 0);
     }
-    assert!(loads.lateness(&[&a], &wanted, AIM, NOW).is_some());
+    assert!(loads.lateness(&[&a], &request, AIM, NOW).is_some());
 }
 
 #[test]
@@ -128,7 +129,7 @@
     let (a, b) = (leader("a"), leader("b"));
     let engine = engine();
     let hall = HallId::from("h");
-    let wanted = PickRequest {
+    let request = PickRequest {
         engine: Some(&engine),
         prompt: 1_000,
         hall: &hall,
@@ -138,16 +139,16 @@
         loads.begin(&"a".into(), 1_000);
     }
     assert_eq!(
-        loads.lateness(&[&a, &b], &wanted, AIM, NOW),
+        loads.lateness(&[&a, &b], &request, AIM, NOW),
         None,
         "b is free"
     );
     for _ in 0..26 {
         loads.begin(&"b".into(), 1_000);
     }
-    assert!(loads.lateness(&[&a, &b], &wanted, AIM, NOW).is_some());
+    assert!(loads.lateness(&[&a, &b], &request, AIM, NOW).is_some());
     assert_eq!(
-        loads.lateness(&[], &wanted, AIM, NOW),
+        loads.lateness(&[], &request, AIM, NOW),
         None,
         "there is no target to wait for"
     );
@@ -159,7 +160,7 @@
     let (near, mut far) = (leader("a"), leader("b"));
     far.hall = "other".into();
     let engine = engine();
-    let wanted = PickRequest {
+    let request = PickRequest {
         engine: Some(&engine),
         prompt: 600,
         hall: &HallId::from("h"),
@@ -168,7 +169,7 @@
     let mut pick = |loads: &LoadTable| {
         let both = [&near, &far];
         loads
-            .pick(&both, &wanted, Knowledge::Stale, NOW, &mut rng)
+            .pick(&both, &request, Knowledge::Stale, NOW, &mut rng)
             .map(|t| t.id.clone())
     };
     assert_eq!(pick(&loads), Some("a".into()));
--- a/crates/thistlesill-policy/tests/edge/owner.rs
+++ b/crates/thistlesill-policy/tests/edge/owner.rs
@@ -169,7 +169,7 @@
         }
         let prompt = rng.random_range(200..4_000);
         let daemon = rng.random_range(0..DAEMONS);
-        let wanted = PickRequest {
+        let request = PickRequest {
             engine: Some(&engine),
             prompt,
             hall: &hall,
@@ -178,7 +178,7 @@
             Chooser::Each => (daemon, Knowledge::Stale),
             Chooser::Owner => (0, Knowledge::Exact),
         };
-        let target = tables[table].pick(&candidates, &wanted, knowledge, at, &mut rng);
+        let target = tables[table].pick(&candidates, &request, knowledge, at, &mut rng);
         let id = &target.expect("there are groups").id;
         tables[table].begin(id, prompt);
         let group = groups.iter().position(|g| g.id == *id).expect("it is one");
--- a/crates/thistlesill-policy/tests/edge/restarts.rs
+++ b/crates/thistlesill-policy/tests/edge/restarts.rs
@@ -112,10 +112,10 @@
         version,
         entry: listed(id),
     };
-    let batch = |before, after, list| Batch {
+    let batch = |before, after, changes| Batch {
         before,
         after,
-        changes: list,
+        changes,
         store_uptime: None,
     };
     let mut feed = Feed::default();
