--- a/crates/thistlesill-policy/src/edge/admission.rs
+++ b/crates/thistlesill-policy/src/edge/admission.rs
@@ -1,4 +1,4 @@
-//! Whether a request may pass, and what it is entitled to.
+//! Admission of requests: checks the key, and determines route, service, customer and priority.
 
 use std::sync::Arc;
 
@@ -8,63 +8,63 @@
 
 use super::freshness::Freshness;
 
-/// The key of a request.
+/// The API key that came with a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Key<'a> {
-    /// None was sent.
+    /// No key was sent.
     Missing,
-    /// One was sent.
+    /// The key that was sent.
     Given(&'a str),
-    /// What was sent is no single key.
+    /// Something was sent that is not exactly one key.
     Unusable,
 }
 
-/// A request that asks to pass.
+/// The parts of a request that decide on its admission.
 #[derive(Debug, Clone, Copy)]
-pub struct Asking<'a> {
-    /// The host that was named.
+pub struct AdmissionRequest<'a> {
+    /// Host that the caller addressed.
     pub host: &'a str,
-    /// The path.
+    /// Path of the request.
     pub path: &'a str,
-    /// The key.
+    /// API key of the request.
     pub key: Key<'a>,
-    /// How long the caller waits.
+    /// How long the caller waits, if it set a deadline.
     pub deadline: Option<Millis>,
 }
 
-/// A request that may pass.
+/// An admitted request.
 #[derive(Debug, Clone)]
-pub struct Passage {
-    /// The version of the catalog that let it pass.
+pub struct Admission {
+    /// Version of the catalog that admitted the request.
     pub version: u64,
-    /// Its route.
+    /// Route that matches host and path.
     pub route: Arc<Route>,
-    /// The service that answers it.
+    /// Service that answers the request, drawn by the weights of the route.
     pub service: Arc<Service>,
-    /// Its customer, unless the route is public.
+    /// Customer that the key belongs to; `None` if the route is public.
     pub customer: Option<CustomerId>,
-    /// Its rank, 0 first.
+    /// Priority of the request; 0 is the highest.
     pub priority: u8,
-    /// Time until it must have its final answer.
-    pub limit: Millis,
+    /// Time until the request must have its final answer.
+    pub timeout: Millis,
 }
 
-/// Decides whether a request may pass.
+/// Decides whether a request is admitted.
 ///
 /// # Errors
 ///
-/// The kind of error with which it is refused.
+/// Returns the kind of error with which the request is refused.
 pub fn admit(
     catalog: Option<&Catalog>,
     fresh: &Freshness,
     bounds: &Bounds,
-    asking: &Asking<'_>,
+    request: &AdmissionRequest<'_>,
     now: Millis,
     rng: &mut impl rand::Rng,
-) -> Result<Passage, ErrorKind> {
+) -> Result<Admission, ErrorKind> {
     let catalog = catalog.ok_or(ErrorKind::NotReady)?;
     let route = catalog
-        .route(asking.host, asking.path)
+        .route(request.host, request.path)
         .ok_or(ErrorKind::NotFound)?;
     let mut customer = None;
     let mut priority = route.priority;
@@ -72,7 +72,7 @@
         if !fresh.permits(bounds.revoke, now) {
             return Err(ErrorKind::NotReady);
         }
-        let Key::Given(key) = asking.key else {
+        let Key::Given(key) = request.key else {
             return Err(ErrorKind::Unauthorized);
         };
         let holder = catalog.holder(key).ok_or(ErrorKind::Unauthorized)?;
@@ -80,29 +80,30 @@
         priority = holder.priority.unwrap_or(priority);
     }
     let service = draw_service(catalog, route, rng).ok_or(ErrorKind::NoGroup)?;
-    let limit = asking.deadline.unwrap_or(route.timeout).min(route.timeout);
-    Ok(Passage {
+    let timeout = request.deadline.unwrap_or(route.timeout).min(route.timeout);
+    Ok(Admission {
         version: catalog.version,
         route: route.clone(),
         service,
         customer,
         priority,
-        limit,
+        timeout,
     })
 }
 
-/// Time in which the balancer notices that a stopping daemon takes no new
-/// callers: it asks once a second and believes the second answer.
-pub const BALANCER: Millis = Millis::new(2_600);
+/// Time in which the balancer notices that a stopping daemon accepts no new callers: it asks once a
+/// second and acts on the second answer that says so.
+pub const BALANCER_DETECTION: Millis = Millis::new(2_600);
 
-/// Whether a daemon that was told to stop `gone` ago still takes a request
-/// that may last for `limit`, where it must end within `grace`.
+/// Returns whether a daemon that began to stop `gone` ago still accepts a request that may last for
+/// `timeout`, where the daemon must exit within `grace`.
 ///
-/// Until the balancer has noticed, callers cannot know better. Later ones come
-/// only if the balancer has nobody else, and would be broken off.
+/// Until the balancer has noticed, callers cannot avoid the daemon. Later callers arrive only if
+/// the balancer has no other daemon, and a request that does not end within `grace` would be cut
+/// off.
 #[must_use]
-pub fn may_still_take(gone: Millis, limit: Millis, grace: Millis) -> bool {
-    gone < BALANCER || gone + limit < grace
+pub fn accepts_while_stopping(gone: Millis, timeout: Millis, grace: Millis) -> bool {
+    gone < BALANCER_DETECTION || gone + timeout < grace
 }
 
 /// Draws one of the route's services by weight.
--- a/crates/thistlesill-policy/src/router/core/fatal.rs
+++ b/crates/thistlesill-policy/src/router/core/fatal.rs
@@ -7,7 +7,7 @@
 use thistlesill_core::{Fingerprint, Millis, RequestId, Verdict};
 
 use super::{MAX_VERDICTS_PER_MESSAGE, RouterCore, VERDICTS_INTERVAL};
-use crate::quarantine::Standing;
+use crate::quarantine::QuarantineStatus;
 use crate::router::{Arrival, RouterAction, Wanted};
 use crate::serving::GroupKey;
 
@@ -38,10 +38,10 @@
     /// due for a trial starts it here.
     pub(super) fn withheld(&mut self, arrival: &Arrival, now: Millis) -> Option<Millis> {
         let print = self.suspect_fingerprint(arrival)?;
-        match self.quarantine.standing(print, now) {
-            Standing::Free => None,
-            Standing::Withheld(left) | Standing::Tried(left) => Some(left),
-            Standing::Trial => {
+        match self.quarantine.status(print, now) {
+            QuarantineStatus::Free => None,
+            QuarantineStatus::Withheld(left) | QuarantineStatus::Tried(left) => Some(left),
+            QuarantineStatus::Trial => {
                 let verdict = self.quarantine.begin_trial(print, now);
                 self.unsent_fatal.verdicts.extend(verdict);
                 None
@@ -62,13 +62,13 @@
         let lost = (key.group.clone(), key.epoch);
         self.unsent_fatal.lost.push((print, lost));
         self.unsent_fatal.verdicts.extend(verdict);
-        self.quarantine.standing(print, now) == Standing::Free
+        self.quarantine.status(print, now) == QuarantineStatus::Free
     }
 
     /// Records that a request completed successfully.
     pub(super) fn record_success(&mut self, arrival: &Arrival, now: Millis) {
         if let Some(print) = self.suspect_fingerprint(arrival) {
-            let verdict = self.quarantine.note_good(print, now);
+            let verdict = self.quarantine.note_success(print, now);
             self.unsent_fatal.verdicts.extend(verdict);
         }
     }
--- a/crates/thistlesill-policy/tests/edge/evacuation.rs
+++ b/crates/thistlesill-policy/tests/edge/evacuation.rs
@@ -1,8 +1,8 @@
-//! What a daemon believes of data centres that are evacuated.
+//! Tests of a daemon's list of evacuated data centres.
 
 use thistlesill_core::HallId;
 use thistlesill_core::edge::Evacuations;
-use thistlesill_policy::edge::evacuation::{EvacuationChange, EvacuationTable, ListedHall};
+use thistlesill_policy::edge::evacuation::{EvacuationChange, EvacuationTable, HallEntry};
 
 fn list(version: u64, halls: &[&str]) -> Evacuations {
     Evacuations {
@@ -11,8 +11,8 @@
     }
 }
 
-fn listed(hall: &str, evacuated: bool) -> ListedHall {
-    ListedHall {
+fn listed(hall: &str, evacuated: bool) -> HallEntry {
+    HallEntry {
         hall: hall.into(),
         evacuated,
     }
@@ -40,7 +40,7 @@
 fn changes_that_a_peer_told_before_the_store_did_are_not_undone() {
     let mut table = EvacuationTable::default();
     table.replace(list(3, &["a"]));
-    // A peer tells of a later version while this daemon's question waits at the store.
+    // A peer sends a later version while this daemon's query is pending at the store.
     table.replace(list(9, &[]));
     assert!(table.apply(&[listed("a", true)], 5).is_empty());
     assert_eq!(table.known(), &list(9, &[]));
@@ -54,5 +54,5 @@
         table.apply(&changes, 4),
         vec![EvacuationChange::Begun("b".into())]
     );
-    assert_eq!(EvacuationTable::whole(&changes[2..], 4), list(4, &["b"]));
+    assert_eq!(EvacuationTable::snapshot(&changes[2..], 4), list(4, &["b"]));
 }
