--- a/crates/thistlesill-policy/src/edge/fleet.rs
+++ b/crates/thistlesill-policy/src/edge/fleet.rs
@@ -49,7 +49,7 @@
 const LEADER_GONE_TIMEOUT: Millis = Millis::new(2_800);
 /// How long a leader that shuts down may finish its running requests: the platform's limit.
 const LEADER_DRAIN_TIMEOUT: Millis = Millis::new(10_000);
-/// How long after it was sent an order may still be carried out: the platform's limit.
+/// Time after sending within which an order may still be carried out: the platform's limit.
 const LATE_ORDER_TIMEOUT: Millis = Millis::new(12_000);
 /// Time after a join within which its planner has announced that the join got no answer: the
 /// longest wait for an answer, and three heartbeats of a planner.
--- a/crates/thistlesill-policy/src/edge/fleet/standby.rs
+++ b/crates/thistlesill-policy/src/edge/fleet/standby.rs
@@ -21,7 +21,7 @@
 /// From about there on, answers become late.
 const BUSY_RATIO: f64 = 0.65;
 /// Occupancy with one group fewer, as a ratio of the slots, below which a surplus group is closed.
-/// It is far enough from [`BUSY_RATIO`] that a group is not opened and closed by turns.
+/// The distance to [`BUSY_RATIO`] keeps a group from being opened and closed by turns.
 const UNDERUSED_RATIO: f64 = 0.4;
 /// How long the groups must have been underused before one is closed.
 const UNDERUSED_DURATION: Millis = Millis::new(3_000);
--- a/crates/thistlesill-policy/src/edge/fleet/survey.rs
+++ b/crates/thistlesill-policy/src/edge/fleet/survey.rs
@@ -17,7 +17,7 @@
     Serve,
     /// Nothing yet.
     Wait,
-    /// Order the leader to open: it may take requests.
+    /// Order the leader to open the group for requests.
     Open,
     /// Order the leader to abort its requests at once, since a member is lost.
     Cut,
--- a/crates/thistlesill-policy/tests/edge/stage.rs
+++ b/crates/thistlesill-policy/tests/edge/stage.rs
@@ -279,16 +279,16 @@
 /// What happens to an order.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum Delivery {
-    /// It is carried out and answered.
+    /// The order is carried out and answered.
     Answered,
-    /// It never arrives.
+    /// The order never arrives.
     Lost,
     /// The engine accepts no connection.
     Refused,
-    /// It is carried out and the answer is lost.
+    /// The order is carried out and the answer is lost.
     Unanswered,
-    /// It gets no answer, is carried out, and is carried out once more after a delay.
+    /// The order gets no answer, is carried out, and is carried out once more after a delay.
     Twice(Millis),
-    /// It gets no answer and is carried out after a delay.
+    /// The order gets no answer and is carried out after a delay.
     Late(Millis),
 }
