--- a/crates/thistlesill-policy/src/edge/start.rs
+++ b/crates/thistlesill-policy/src/edge/start.rs
@@ -10,9 +10,9 @@
 
 /// Daemons of each data centre that read the store when they start: one of them may be down.
 const READERS: usize = 2;
-/// Daemons that ask the same parent: the list of 3,000 targets takes 0.15 s on a connection of 20
-/// Mbit/s, so that each level of the tree takes at most half a second, and four levels hold 340
-/// daemons of a data centre.
+/// Daemons that ask the same parent: the list of 3,000 targets takes 0.15 s on a connection of
+/// 20 Mbit/s, so that each level of the tree takes at most half a second, and four levels hold
+/// 340 daemons of a data centre.
 const FAN_OUT: usize = 4;
 
 /// Where a daemon gets its initial state.
--- a/crates/thistlesill-policy/tests/edge/beats.rs
+++ b/crates/thistlesill-policy/tests/edge/beats.rs
@@ -30,8 +30,8 @@
     intervals.max().unwrap_or(Millis::ZERO)
 }
 
-/// When all intervals were checked only as often as heartbeats to the own data centre are due, 3.2
-/// s where that has 200 daemons, a planner was silent for longer than the 1.2 s after which it
+/// When all intervals were checked only as often as heartbeats to the own data centre are due,
+/// 3.2 s where that has 200 daemons, a planner was silent for longer than the 1.2 s after which it
 /// counts as lost, and reports of the demand arrived when the previous ones had almost expired.
 #[test]
 fn a_planner_of_a_large_data_centre_is_heard_as_often_as_that_of_a_small_one() {
