--- a/crates/thistlesill-edge/src/attempt.rs
+++ b/crates/thistlesill-edge/src/attempt.rs
@@ -15,7 +15,7 @@
 
 use crate::flight::InFlight;
 use crate::job::Job;
-use crate::lanes::Taken;
+use crate::lanes::PooledLane;
 use crate::limits;
 use crate::quarantine;
 use crate::relay;
@@ -93,12 +93,15 @@
     let edge = &job.edge;
     let flight = InFlight::new(edge, target, job.prompt());
     let sent = edge.now();
-    let connect = within(CONNECT.min(job.left().duration()));
+    let connect = within(CONNECT.min(job.time_left().duration()));
     // A kept connection may just be closing, or have fallen silent; a request
     // that may run only once, or has no further attempt, would then be lost. What
     // silenced one target's may have silenced the next one's, too.
     let reuse = job.may_repeat() && turn == Turn::First;
-    let Taken { mut lane, kept } = match edge.lanes.get(target, reuse, sent, connect).await {
+    let PooledLane {
+        mut lane,
+        reused: kept,
+    } = match edge.lanes.get(target, reuse, sent, connect).await {
         Ok(taken) => taken,
         Err(error) => {
             edge.suspect(&target.id, "no connection");
@@ -106,13 +109,13 @@
         }
     };
     if let Some(why) = held_back(edge, target, clearance) {
-        job.keep_lane(&target.id, lane, None);
+        job.return_lane(&target.id, lane, None);
         return Err(Failure::new(Outcome::NotSent, &why));
     }
     let request = job.request(target, last_event);
-    limits::note_sent(job, target);
+    limits::log_sent(job, target);
     let answer = {
-        let last = job.last_answer();
+        let last = job.answer_deadline();
         let send = lane.send(request, within((last - sent).duration()));
         tokio::pin!(send);
         let patience = async {
@@ -146,9 +149,9 @@
 
 /// Why a request that a target was picked for is not sent there after all.
 fn held_back(edge: &Edge, target: &Target, clearance: Clearance) -> Option<&'static str> {
-    if edge.book.borrow().is_evacuated(&target.hall) {
+    if edge.registry.borrow().is_evacuated(&target.hall) {
         Some("its data centre is evacuated")
-    } else if !limits::is_cleared(edge, target, clearance) {
+    } else if !limits::is_clearance_valid(edge, target, clearance) {
         Some("its grant ran out")
     } else {
         None
@@ -161,9 +164,9 @@
 /// with this all are served (a daemon before stand-ins).
 async fn leave_late(job: &Job, target: &Target, tried: &[TargetId]) {
     let edge = &job.edge;
-    relay::stall(job, target, true).await;
+    relay::wait_for_stall(job, target, true).await;
     edge.suspect(&target.id, "no answer begins");
-    while !job.may_go_elsewhere(tried) && !edge.peers.borrow().is_dead(&target.id) {
+    while !job.can_retry_elsewhere(tried) && !edge.peers.borrow().is_dead(&target.id) {
         tokio::time::sleep(LOOK).await;
     }
 }
@@ -173,10 +176,10 @@
 /// did, 6 of 6 requests are answered in time, and none without this (a daemon before
 /// two targets).
 async fn silence(job: &Job, kept: bool) {
-    if !kept || job.passage.route.kind == RouteKind::Stream {
+    if !kept || job.admission.route.kind == RouteKind::Stream {
         return pending::<()>().await;
     }
-    tokio::time::sleep(job.passage.route.aim.duration()).await;
+    tokio::time::sleep(job.admission.route.aim.duration()).await;
 }
 
 /// Sorts an answer by what it says of the request.
--- a/crates/thistlesill-edge/src/daemon.rs
+++ b/crates/thistlesill-edge/src/daemon.rs
@@ -179,9 +179,9 @@
     tokio::task::spawn_local(peers::transfer::serve(edge.clone()));
     tokio::task::spawn_local(peers::place::run(edge.clone()));
     tokio::task::spawn_local(follow::run(edge.clone()));
-    tokio::task::spawn_local(quarantine::run(edge.clone()));
+    tokio::task::spawn_local(quarantine::send_updates(edge.clone()));
     tokio::task::spawn_local(limits::run(edge.clone()));
-    tokio::task::spawn_local(quarantine::keep(edge.clone()));
+    tokio::task::spawn_local(quarantine::persist(edge.clone()));
     if options.parts != Parts::Serve {
         tokio::task::spawn_local(planner::run(edge.clone(), charts));
     }
@@ -208,7 +208,7 @@
         sweep(&edge);
         if rounds % SLOW_SWEEPS == 0 {
             edge.lanes.sweep(edge.now());
-            edge.cases.retain(edge.now());
+            edge.quarantine.retain(edge.now());
             if rounds % STATUS_SWEEPS == 0 {
                 note_status(&edge);
                 note_traffic(&edge);
@@ -273,7 +273,7 @@
         // No new callers come; connections without a request end.
         edge.stop.notify_waiters();
     }
-    let done = edge.active.get() == 0 && !edge.plans.get();
+    let done = edge.active.get() == 0 && !edge.is_planner.get();
     gone >= edge.grace() || (done && gone >= BALANCER_DETECTION + CLOSE)
 }
 
@@ -300,12 +300,15 @@
         .with("ready", edge.is_ready())
         .with("active", edge.active.get())
         .maybe("catalog", edge.catalog().map(|c| c.version))
-        .maybe("proof_age_ms", edge.fresh.get().age(now).map(Millis::get))
+        .maybe(
+            "proof_age_ms",
+            edge.catalog_freshness.get().age(now).map(Millis::get),
+        )
         .maybe("targets_age_ms", edge.targets_age().map(Millis::get))
-        .with("reads", edge.reads.get())
-        .with("plans", edge.plans.get())
+        .with("reads", edge.is_reader.get())
+        .with("plans", edge.is_planner.get())
         .with("peers", edge.peers.borrow().heard(now))
-        .with("targets", edge.book.borrow().count())
+        .with("targets", edge.registry.borrow().count())
         .write();
 }
 
@@ -335,7 +338,7 @@
 /// nobody hears of it on a connection that nobody uses.
 fn note_suspended(edge: &Edge) {
     if let Some(time) = edge.alarm.look() {
-        edge.lanes.clear();
+        edge.lanes.close_all_idle();
         edge.store.drop_idle();
         let line = edge.lines.line("suspended").with("for_ms", time.get());
         line.with("active", edge.active.get()).write();
@@ -346,10 +349,10 @@
 fn sweep(edge: &Edge) {
     let now = edge.now();
     let catalog = edge.catalog();
-    if edge.book.borrow_mut().expire(catalog.as_deref(), now) {
-        edge.fleet_news.notify_one();
+    if edge.registry.borrow_mut().expire(catalog.as_deref(), now) {
+        edge.fleet_changed.notify_one();
     }
-    let book = edge.book.borrow();
+    let book = edge.registry.borrow();
     edge.loads
         .borrow_mut()
         .retain(|id| book.is_current(id), now);
--- a/crates/thistlesill-edge/src/evacuation.rs
+++ b/crates/thistlesill-edge/src/evacuation.rs
@@ -44,7 +44,7 @@
         let (event, hall) = match change {
             EvacuationChange::Begun(hall) => ("evacuation_begun", hall),
             EvacuationChange::Ended(hall) => {
-                limits::note_taken_back(edge, hall);
+                limits::limit_restored_hall(edge, hall);
                 ("evacuation_ended", hall)
             }
         };
@@ -53,8 +53,8 @@
     }
     metrics::gauge!("thistlesill_edge_evacuated_halls").set(known.halls.len() as f64);
     let catalog = edge.catalog();
-    edge.book
+    edge.registry
         .borrow_mut()
         .evacuate(&known.halls, catalog.as_deref());
-    edge.fleet_news.notify_one();
+    edge.fleet_changed.notify_one();
 }
--- a/crates/thistlesill-edge/src/figures.rs
+++ b/crates/thistlesill-edge/src/figures.rs
@@ -42,7 +42,7 @@
 ///
 /// The two counters are the operators' measures: seconds of groups that were
 /// missing, and seconds of targets that were in no group.
-pub(crate) fn note_fleet(service: &ServiceName, census: &Census, passed: Millis) {
+pub(crate) fn record_census(service: &ServiceName, census: &Census, passed: Millis) {
     let service = service.to_string();
     for model in &census.models {
         let labels = [
--- a/crates/thistlesill-edge/src/flight.rs
+++ b/crates/thistlesill-edge/src/flight.rs
@@ -30,7 +30,7 @@
     }
 
     /// Notes that the target has read the prompt.
-    pub(crate) fn begun(&mut self) {
+    pub(crate) fn end_prefill(&mut self) {
         let unread = std::mem::take(&mut self.unread);
         if unread > 0 {
             self.edge
--- a/crates/thistlesill-edge/src/follow.rs
+++ b/crates/thistlesill-edge/src/follow.rs
@@ -24,7 +24,7 @@
 use crate::peers::packet::{Ask, Changes, KnownTargets, Packet, Pass, Vouch};
 use crate::peers::{Reach, link};
 use crate::start::Start;
-use crate::state::{Edge, Lack};
+use crate::state::{Edge, FeedGap};
 use crate::watch;
 
 /// Between two looks at whether this daemon reads the store.
@@ -73,7 +73,7 @@
 pub(crate) fn reads_store(edge: &Edge) -> bool {
     let now = edge.now();
     let settings = edge.settings();
-    if edge.plans.get() {
+    if edge.is_planner.get() {
         return true;
     }
     let quiet = if settings.first_start {
@@ -89,7 +89,7 @@
     if proof_is_older(edge, ALONE_PART) {
         return true;
     }
-    let goes_on = edge.reads.get() && !edge.peers.borrow().hears_planner(now);
+    let goes_on = edge.is_reader.get() && !edge.peers.borrow().hears_planner(now);
     (proof_is_older(edge, HEAD_PART) || goes_on) && reads_for_others(edge)
 }
 
@@ -97,7 +97,7 @@
 /// new catalog must be in force.
 fn proof_is_older(edge: &Edge, part: f64) -> bool {
     let apply = edge.settings().bounds.apply.get() as f64;
-    let age = edge.fresh.get().age(edge.now());
+    let age = edge.catalog_freshness.get().age(edge.now());
     age.is_none_or(|age| age.get() as f64 > apply * part)
 }
 
@@ -105,31 +105,37 @@
 pub(crate) fn reads_for_others(edge: &Edge) -> bool {
     let settings = edge.settings();
     let peers = edge.peers.borrow();
-    edge.plans.get() || peers.is_first(&settings.name, edge.is_away(), &settings.hall, edge.now())
+    edge.is_planner.get()
+        || peers.is_first(
+            &settings.name,
+            edge.is_store_unreachable(),
+            &settings.hall,
+            edge.now(),
+        )
 }
 
 /// Decides whether this daemon reads the targets' entries from the store: the
 /// one that forms groups does, and tells the others. Without it, or when what
 /// it tells grows old, the readers that others depend on do, and at last all.
 pub(crate) fn reads_targets(edge: &Edge) -> bool {
-    if edge.plans.get() {
+    if edge.is_planner.get() {
         return true;
     }
     let drain = edge.settings().bounds.drain.get() as f64;
     let age = edge.targets_age().map_or(0.0, |age| age.get() as f64);
-    if age > drain * TARGETS_ALONE_PART && !edge.is_away() {
+    if age > drain * TARGETS_ALONE_PART && !edge.is_store_unreachable() {
         return true;
     }
     let planner = edge.peers.borrow().hears_planner(edge.now());
     let told = planner && age <= drain * DOUBT_PART;
-    !told && edge.reads.get() && reads_for_others(edge)
+    !told && edge.is_reader.get() && reads_for_others(edge)
 }
 
 /// What this daemon read of the targets itself a short time ago, for its peers. What
 /// it heard from others is not passed on: a datagram that was held up would make it
 /// seem younger with each hop.
 pub(crate) fn known_targets(edge: &Edge, now: Millis) -> Option<KnownTargets> {
-    let age = now - edge.targets_read.get()?;
+    let age = now - edge.last_targets_read.get()?;
     if age > edge.settings().bounds.drain {
         // It proves nothing to anyone any more.
         return None;
@@ -166,17 +172,17 @@
         looks += 1;
         let had = std::mem::replace(&mut targets, reads_targets(&edge));
         if targets && !had {
-            edge.reads_changed.notify_waiters();
+            edge.reader_changed.notify_waiters();
         }
         let reads = reads_store(&edge);
-        if edge.reads.replace(reads) != reads {
+        if edge.is_reader.replace(reads) != reads {
             edge.lines.line("store_reader").with("reads", reads).write();
-            edge.reads_changed.notify_waiters();
+            edge.reader_changed.notify_waiters();
             // The others there ask this one, or no longer, without waiting for its next
             // beat: asking one that had ceased to read left 61 daemons without a proof.
             link::tell_beat(&edge, Reach::Near);
         }
-        if !edge.plans.get() && looks % ASK_LOOKS == 0 {
+        if !edge.is_planner.get() && looks % ASK_LOOKS == 0 {
             ask(&edge);
         }
     }
@@ -188,7 +194,7 @@
         let (peers, now) = (edge.peers.borrow(), edge.now());
         // A daemon that reads the catalog itself asks for targets only, unless the store
         // does not answer it.
-        if edge.reads.get() && !edge.is_away() {
+        if edge.is_reader.get() && !edge.is_store_unreachable() {
             peers.planner()
         } else if spread::asks_delegate(peers.most())
             && !proof_is_older(edge, DELEGATE_PROOF_PART)
@@ -208,20 +214,20 @@
 /// come by themselves within a short time: they take two steps more than the word that
 /// there are some.
 fn ask_if_it_lasts(edge: &Edge, peer: &NodeId, newest: u64) {
-    if lasts(edge, &edge.lacks, newest, LACK) {
+    if lasts(edge, &edge.feed_gap, newest, LACK) {
         ask_peer(edge, peer);
     }
 }
 
 /// Notes that this daemon lacks changes up to a version, and returns whether it has lacked
 /// those that were noted for a time; then that time begins anew.
-fn lasts(edge: &Edge, noted: &Cell<Option<Lack>>, newest: u64, time: Millis) -> bool {
+fn lasts(edge: &Edge, noted: &Cell<Option<FeedGap>>, newest: u64, time: Millis) -> bool {
     let (now, version) = (edge.now(), edge.feed.borrow().version());
     let lack = noted.get().filter(|lack| version < lack.version);
     if lack.is_some_and(|lack| now - lack.since < time) {
         return false;
     }
-    noted.set(Some(Lack {
+    noted.set(Some(FeedGap {
         version: newest,
         since: now,
     }));
@@ -252,7 +258,7 @@
 pub(crate) fn answer(edge: &Edge, ask: &Ask) {
     let now = edge.now();
     let catalog = edge.catalog().map(|c| c.version);
-    let age = edge.fresh.get().age(now);
+    let age = edge.catalog_freshness.get().age(now);
     if let (Some(catalog), Some(age)) = (catalog, age) {
         let vouch = Vouch {
             from: edge.settings().name.clone(),
@@ -295,7 +301,7 @@
     mut rest: &[Change],
     after: u64,
 ) {
-    let steady = edge.book.borrow().store_uptime(edge.now());
+    let steady = edge.registry.borrow().store_uptime(edge.now());
     loop {
         let (part, later) = rest.split_at(rest.len().min(MAX_TOLD));
         let last = part.last().map_or(after, |c| c.version);
@@ -334,10 +340,10 @@
 /// half a minute before 3,000 of them.
 fn lags_for_long(edge: &Edge, floor: u64) -> bool {
     let lags = edge.feed.borrow().version() < floor;
-    let long = lags && lasts(edge, &edge.gap, floor, GAP);
+    let long = lags && lasts(edge, &edge.unserved_gap, floor, GAP);
     if long {
         // The list of all targets is on its way; another gap is noted with the next word.
-        edge.gap.set(None);
+        edge.unserved_gap.set(None);
     }
     long
 }
@@ -345,8 +351,8 @@
 /// Has the list of all targets be got from a peer that knows it.
 fn have_targets_of(edge: &Edge, peer: &NodeId) {
     let address = edge.peers.borrow().address(peer);
-    edge.targets_at.set(address);
-    edge.targets_news.notify_one();
+    edge.targets_source.set(address);
+    edge.newer_targets.notify_one();
 }
 
 /// Takes in another daemon's word for the catalog.
@@ -358,12 +364,12 @@
     let own = edge.catalog().map(|c| c.version);
     if own.is_none_or(|own| vouch.catalog > own) {
         let address = edge.peers.borrow().address(&vouch.from);
-        edge.catalog_at.set(address);
-        edge.catalog_news.notify_one();
+        edge.catalog_source.set(address);
+        edge.newer_catalog.notify_one();
         return;
     }
     if own == Some(vouch.catalog) {
-        edge.confirm(vouch.asked - vouch.age);
+        edge.confirm_catalog(vouch.asked - vouch.age);
     }
 }
 
@@ -393,7 +399,7 @@
 fn take_next(edge: &Edge, batch: Batch) {
     let now = edge.now();
     if let Some(steady) = batch.store_uptime {
-        edge.book.borrow_mut().set_store_up_since(now - steady);
+        edge.registry.borrow_mut().set_store_up_since(now - steady);
     }
     let fresh = edge.feed.borrow().unknown(batch.changes);
     edge.feed.borrow_mut().extend(&fresh, batch.after);
--- a/crates/thistlesill-edge/src/job.rs
+++ b/crates/thistlesill-edge/src/job.rs
@@ -15,10 +15,10 @@
 use thistlesill_policy::edge::admission::Admission;
 use thistlesill_policy::edge::asked::DemandSample;
 
-use crate::lanes::most_idle;
+use crate::lanes::max_idle;
 use crate::peers::place;
 use crate::quarantine;
-use crate::state::{Asking, Edge, Pick};
+use crate::state::{Edge, Pick, TargetQuery};
 
 /// Added to the end of a request's time before an attempt is given up, so
 /// that an answer that a target sends at the very end still arrives.
@@ -27,7 +27,7 @@
 /// A request that passed, and all that is needed to send it.
 pub(crate) struct Job {
     pub(crate) edge: Rc<Edge>,
-    pub(crate) passage: Admission,
+    pub(crate) admission: Admission,
     pub(crate) head: CallerHead,
     pub(crate) method: Method,
     pub(crate) uri: Uri,
@@ -37,7 +37,7 @@
     /// When the final answer is due.
     pub(crate) due: Millis,
     /// Its fingerprint, once it was needed.
-    print: OnceCell<Fingerprint>,
+    cached_fingerprint: OnceCell<Fingerprint>,
     /// Whether this is the trial of a request that was withheld.
     pub(crate) trial: Cell<bool>,
 }
@@ -57,31 +57,31 @@
             due: arrival.at + passage.timeout,
             headers: caller::forwarded(&arrival.parts.headers),
             edge,
-            passage,
+            admission: passage,
             head: arrival.head,
             method: arrival.parts.method,
             uri: arrival.parts.uri,
             body: arrival.body,
             arrived: arrival.at,
-            print: OnceCell::new(),
+            cached_fingerprint: OnceCell::new(),
             trial: Cell::new(false),
         }
     }
 
     /// Time left to the request.
-    pub(crate) fn left(&self) -> Millis {
+    pub(crate) fn time_left(&self) -> Millis {
         self.due - self.edge.now()
     }
 
     /// When the last bytes of an answer may come.
-    pub(crate) fn last_answer(&self) -> Millis {
+    pub(crate) fn answer_deadline(&self) -> Millis {
         self.due + LAST_ANSWER
     }
 
     /// Keeps a connection for the next request.
-    pub(crate) fn keep_lane(&self, target: &TargetId, lane: Lane, keep: Option<Millis>) {
+    pub(crate) fn return_lane(&self, target: &TargetId, lane: Lane, keep: Option<Millis>) {
         let daemons = self.edge.peers.borrow().most();
-        let most = most_idle(self.passage.service.connections, daemons);
+        let most = max_idle(self.admission.service.connections, daemons);
         let now = self.edge.now();
         self.edge.lanes.keep(target, lane, keep, most, now);
     }
@@ -93,8 +93,8 @@
     }
 
     /// Notes what the request asks of its model.
-    pub(crate) fn note_asked(&self, refused: bool) {
-        let service = &self.passage.service;
+    pub(crate) fn record_demand(&self, refused: bool) {
+        let service = &self.admission.service;
         let (Some(engine), Some(model)) = (&service.engine, &self.head.model) else {
             return;
         };
@@ -107,18 +107,20 @@
         };
         let now = self.edge.now();
         self.edge
-            .asked
+            .demand_meter
             .borrow_mut()
             .record(&service.name, &asked, now);
     }
 
     /// What tells whether the same request came before.
-    pub(crate) fn print(&self) -> Fingerprint {
-        *self.print.get_or_init(|| self.fingerprint())
+    pub(crate) fn fingerprint(&self) -> Fingerprint {
+        *self
+            .cached_fingerprint
+            .get_or_init(|| self.compute_fingerprint())
     }
 
-    fn fingerprint(&self) -> Fingerprint {
-        let customer = self.passage.customer.as_ref();
+    fn compute_fingerprint(&self) -> Fingerprint {
+        let customer = self.admission.customer.as_ref();
         let customer = customer.map_or("", thistlesill_core::CustomerId::as_str);
         let host = self.headers.get(HOST).map_or(&b""[..], |h| h.as_bytes());
         Fingerprint::of(&[
@@ -132,20 +134,20 @@
 
     /// Picks the next target of the request.
     pub(crate) async fn pick(&self, tried: &[TargetId]) -> Pick {
-        place::pick(&self.edge, self.asking(tried)).await
+        place::pick(&self.edge, self.query(tried)).await
     }
 
     /// Whether it may be sent to another target than those that it was sent to.
-    pub(crate) fn may_go_elsewhere(&self, tried: &[TargetId]) -> bool {
-        self.edge.may_go_elsewhere(&self.asking(tried))
+    pub(crate) fn can_retry_elsewhere(&self, tried: &[TargetId]) -> bool {
+        self.edge.can_retry_elsewhere(&self.query(tried))
     }
 
-    fn asking<'a>(&'a self, tried: &'a [TargetId]) -> Asking<'a> {
-        Asking {
-            service: &self.passage.service,
+    fn query<'a>(&'a self, tried: &'a [TargetId]) -> TargetQuery<'a> {
+        TargetQuery {
+            service: &self.admission.service,
             model: self.head.model.as_ref(),
             prompt: self.prompt(),
-            aim: self.passage.route.aim,
+            aim: self.admission.route.aim,
             tried,
             first: tried.is_empty(),
         }
@@ -153,7 +155,7 @@
 
     /// Whether the request may run more than once.
     pub(crate) fn may_repeat(&self) -> bool {
-        self.passage.route.may_repeat()
+        self.admission.route.may_repeat()
     }
 
     /// What is sent to a target.
@@ -166,12 +168,12 @@
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
         let mut headers = self.headers.clone();
-        let customer = self.passage.customer.as_ref();
+        let customer = self.admission.customer.as_ref();
         let head = TargetHead {
             customer: customer.map(thistlesill_core::CustomerId::as_str),
             target: &target.id,
-            left: self.left(),
-            priority: self.passage.priority,
+            left: self.time_left(),
+            priority: self.admission.priority,
             last_event,
         };
         caller::address(&mut headers, &head);
--- a/crates/thistlesill-edge/src/lanes.rs
+++ b/crates/thistlesill-edge/src/lanes.rs
@@ -28,10 +28,10 @@
 
 /// A connection for one request.
 #[derive(Debug)]
-pub(crate) struct Taken {
+pub(crate) struct PooledLane {
     pub(crate) lane: Lane,
     /// Whether it was kept since an earlier request, and may have fallen silent.
-    pub(crate) kept: bool,
+    pub(crate) reused: bool,
 }
 
 /// The unused connections, by target.
@@ -60,18 +60,21 @@
         reuse: bool,
         now: Millis,
         until: Instant,
-    ) -> Result<Taken, LaneError> {
+    ) -> Result<PooledLane, LaneError> {
         let kept = if reuse {
             self.take(&target.id, now)
         } else {
             None
         };
         if let Some(lane) = kept {
-            Ok(Taken { lane, kept: true })
+            Ok(PooledLane { lane, reused: true })
         } else {
             metrics::counter!("thistlesill_edge_connections_total").increment(1);
             let lane = Lane::open(target.address, until).await?;
-            Ok(Taken { lane, kept: false })
+            Ok(PooledLane {
+                lane,
+                reused: false,
+            })
         }
     }
 
@@ -101,12 +104,12 @@
 
     /// Closes the unused connections to a target that failed on one: what
     /// silenced it may have silenced all of its age.
-    pub(crate) fn forget(&self, target: &TargetId) {
+    pub(crate) fn close_idle(&self, target: &TargetId) {
         self.idle.borrow_mut().remove(target);
     }
 
     /// Closes all unused connections.
-    pub(crate) fn clear(&self) {
+    pub(crate) fn close_all_idle(&self) {
         self.idle.borrow_mut().clear();
     }
 
@@ -122,7 +125,7 @@
 
 /// How many unused connections one of `daemons` daemons keeps to a target that
 /// accepts `connections` from all of them.
-pub(crate) fn most_idle(connections: u32, daemons: usize) -> usize {
+pub(crate) fn max_idle(connections: u32, daemons: usize) -> usize {
     let part = f64::from(connections) * IDLE_PART / daemons.max(1) as f64;
     (part as usize).min(MAX_IDLE)
 }
--- a/crates/thistlesill-edge/src/limits.rs
+++ b/crates/thistlesill-edge/src/limits.rs
@@ -57,7 +57,7 @@
     }
 
     /// Whether a target may not be sent a request now.
-    pub(crate) fn is_spent(&self, id: &TargetId, now: Millis) -> bool {
+    pub(crate) fn is_exhausted(&self, id: &TargetId, now: Millis) -> bool {
         self.table.borrow().is_exhausted(id, now)
     }
 
@@ -69,7 +69,7 @@
     }
 
     /// The targets that may not be sent a request now.
-    pub(crate) fn spent(&self, now: Millis) -> Vec<TargetId> {
+    pub(crate) fn exhausted(&self, now: Millis) -> Vec<TargetId> {
         self.table.borrow().exhausted(now)
     }
 
@@ -150,7 +150,7 @@
 /// meanwhile.
 ///
 /// All daemons know this from the entry, so nothing is announced.
-pub(crate) fn note_warmup(edge: &Edge, target: &Target) {
+pub(crate) fn limit_warming_target(edge: &Edge, target: &Target) {
     if target.warmup == Millis::ZERO {
         return;
     }
@@ -160,16 +160,16 @@
 }
 
 /// Limits all targets that warm up by their entries.
-pub(crate) fn note_warmups(edge: &Edge) {
-    for target in edge.book.borrow().listed() {
-        note_warmup(edge, target);
+pub(crate) fn limit_warming_targets(edge: &Edge) {
+    for target in edge.registry.borrow().listed() {
+        limit_warming_target(edge, target);
     }
 }
 
 /// Limits the targets of a data centre that is taken back, which may warm up although their
 /// entries do not say so yet.
-pub(crate) fn note_taken_back(edge: &Edge, hall: &HallId) {
-    let book = edge.book.borrow();
+pub(crate) fn limit_restored_hall(edge: &Edge, hall: &HallId) {
+    let book = edge.registry.borrow();
     for target in book.listed().filter(|t| t.hall == *hall) {
         if let Some(warmup) = warmup(edge, target) {
             limit_while_warming(edge, target, warmup.limit, warmup.time);
@@ -189,7 +189,7 @@
 }
 
 /// Notes that a request is sent to a target, if that has a limit.
-pub(crate) fn note_sent(job: &Job, target: &Target) {
+pub(crate) fn log_sent(job: &Job, target: &Target) {
     let now = job.edge.now();
     let limit = job.edge.limits.table.borrow().limit_at(&target.id, now);
     if let Some(limit) = limit {
@@ -211,7 +211,7 @@
 
 /// Clears a request for a target that was picked for it at the moment `asked`, with
 /// `permit`. Without a grant, the target is passed over for a time.
-pub(crate) async fn clear(
+pub(crate) async fn obtain_clearance(
     edge: &Edge,
     target: &Target,
     permit: Permit,
@@ -241,7 +241,7 @@
 
 /// Whether a request that was cleared for a target may still be sent there. A connection
 /// may have taken long to come up, or the daemon may have been frozen with the grant in hand.
-pub(crate) fn is_cleared(edge: &Edge, target: &Target, clearance: Clearance) -> bool {
+pub(crate) fn is_clearance_valid(edge: &Edge, target: &Target, clearance: Clearance) -> bool {
     let now = edge.now();
     let holds = clearance.is_valid(edge.limits.is_limited(&target.id, now), now);
     if !holds {
@@ -284,12 +284,12 @@
 }
 
 /// As keeper: answers a daemon that wants to send a request.
-pub(crate) fn answer(edge: &Edge, ask: &GrantAsk) {
+pub(crate) fn reply_to_grant_request(edge: &Edge, ask: &GrantAsk) {
     let now = edge.now();
     if let Some(told) = &ask.known {
         take_report(edge, &ask.target, told.report(now), ask.from.as_str());
     }
-    let target = edge.book.borrow().target(&ask.target).cloned();
+    let target = edge.registry.borrow().target(&ask.target).cloned();
     if let Some(target) = target {
         tend(edge, &target);
     }
@@ -304,13 +304,13 @@
 }
 
 /// Takes in a keeper's answer.
-pub(crate) fn take_reply(edge: &Edge, reply: GrantReply) {
+pub(crate) fn receive_grant(edge: &Edge, reply: GrantReply) {
     let mut questions = edge.limits.questions.borrow_mut();
     questions.answered(reply.id, reply);
 }
 
 /// Takes in what a peer tells of limits, and tells it what is known to be newer.
-pub(crate) fn hear(edge: &Edge, told: &ToldLimits) {
+pub(crate) fn receive(edge: &Edge, told: &ToldLimits) {
     let now = edge.now();
     let mut newer = Vec::new();
     for limit in &told.list {
@@ -326,7 +326,7 @@
 }
 
 /// Tells a daemon that was not known of the limits that this one keeps.
-pub(crate) fn tell_new_peer(edge: &Edge, peer: &NodeId) {
+pub(crate) fn send_to_new_peer(edge: &Edge, peer: &NodeId) {
     let kept = edge.limits.table.borrow().owned_updates(edge.now());
     for part in kept.chunks(MAX_TOLD) {
         link::tell(edge, peer, &packet(edge, part.to_vec()));
@@ -384,7 +384,7 @@
 /// gone.
 pub(crate) fn sweep(edge: &Edge) {
     edge.limits.questions.borrow_mut().tidy();
-    let book = edge.book.borrow();
+    let book = edge.registry.borrow();
     let mut unreadable = edge.limits.unreadable.borrow_mut();
     unreadable.retain(|id| book.is_current(id));
     if edge.limits.table.borrow().is_empty() {
--- a/crates/thistlesill-edge/src/peers/link.rs
+++ b/crates/thistlesill-edge/src/peers/link.rs
@@ -59,7 +59,7 @@
     let all = peers.far_gap();
     HeartbeatIntervals {
         near: if idle { IDLE_BEAT.max(near) } else { near },
-        all: if edge.plans.get() {
+        all: if edge.is_planner.get() {
             all.min(PLANNER_BEAT)
         } else {
             all
@@ -72,7 +72,7 @@
 /// The daemon that forms groups, if it is another one.
 fn other_planner(edge: &Edge) -> Option<NodeId> {
     let planner = edge.peers.borrow().planner();
-    planner.filter(|_| !edge.plans.get())
+    planner.filter(|_| !edge.is_planner.get())
 }
 
 /// Tells the daemon that forms groups what callers ask this one for.
@@ -80,7 +80,7 @@
     let Some(planner) = other_planner(edge) else {
         return;
     };
-    let work = edge.asked.borrow_mut().work(edge.now());
+    let work = edge.demand_meter.borrow_mut().work(edge.now());
     let work = work.into_iter();
     let work = work.map(|((service, model), work)| (service, model, work as f32));
     let from = edge.settings().name.clone();
@@ -130,8 +130,8 @@
         hall: settings.hall.clone(),
         store: edge.store_use(),
         link: settings.link,
-        plans: edge.plans.get(),
-        busy: edge.busy.get(),
+        plans: edge.is_planner.get(),
+        busy: edge.had_requests.get(),
         owns: place::may_own(edge, now),
         counts: loads.counts(),
         suspects: loads.suspects(now),
@@ -141,7 +141,7 @@
         dead: peers.dead.clone(),
         late: peers.late.clone(),
         targets: follow::known_targets(edge, now),
-        verdicts: edge.cases.digest(),
+        verdicts: edge.quarantine.digest(),
     }))
 }
 
@@ -215,12 +215,12 @@
             Ok(Packet::Placed(reply)) => place::take_reply(&edge, reply),
             Ok(Packet::Counts(counts)) => place::hear_counts(&edge, counts),
             Ok(Packet::Totals(totals)) => place::hear_totals(&edge, totals),
-            Ok(Packet::Lost(lost)) => quarantine::hear_lost(&edge, &lost),
-            Ok(Packet::Verdicts(verdicts)) => quarantine::hear_verdicts(&edge, &verdicts),
-            Ok(Packet::AskVerdicts(peer)) => quarantine::answer(&edge, &peer),
-            Ok(Packet::Limits(told)) => limits::hear(&edge, &told),
-            Ok(Packet::AskGrant(ask)) => limits::answer(&edge, &ask),
-            Ok(Packet::Grant(reply)) => limits::take_reply(&edge, reply),
+            Ok(Packet::Lost(lost)) => quarantine::receive_losses(&edge, &lost),
+            Ok(Packet::Verdicts(verdicts)) => quarantine::receive_verdicts(&edge, &verdicts),
+            Ok(Packet::AskVerdicts(peer)) => quarantine::send_verdicts(&edge, &peer),
+            Ok(Packet::Limits(told)) => limits::receive(&edge, &told),
+            Ok(Packet::AskGrant(ask)) => limits::reply_to_grant_request(&edge, &ask),
+            Ok(Packet::Grant(reply)) => limits::receive_grant(&edge, reply),
             Ok(Packet::Asked(asked)) => edge.peers.borrow_mut().hear_asked(asked, edge.now()),
             Err(error) => {
                 metrics::counter!("thistlesill_edge_datagrams_refused_total").increment(1);
@@ -237,8 +237,8 @@
     }
     let news = edge.peers.borrow_mut().hear(&beat, from, now);
     if news == News::Peer {
-        edge.peer_heard.notify_one();
-        limits::tell_new_peer(edge, &beat.from);
+        edge.peer_discovered.notify_one();
+        limits::send_to_new_peer(edge, &beat.from);
     }
     if news != News::Nothing && beat.store == StoreUse::Reads {
         follow::hear_reader(edge, &beat.from);
@@ -246,18 +246,18 @@
     if let Some(known) = beat.targets {
         follow::hear_known(edge, &beat.from, known);
     }
-    quarantine::hear_digest(edge, &beat.from, beat.verdicts);
+    quarantine::receive_digest(edge, &beat.from, beat.verdicts);
     let doubt = !beat.suspects.is_empty() || !beat.slow.is_empty();
-    if doubt && edge.plans.get() {
-        edge.fleet_news.notify_one();
+    if doubt && edge.is_planner.get() {
+        edge.fleet_changed.notify_one();
     }
     let counts = beat.counts.into_iter().collect();
-    let until = now + edge.trust();
+    let until = now + edge.peer_data_lifetime();
     edge.loads
         .borrow_mut()
         .set_peer_counts(&beat.from, counts, until);
     for target in &beat.dead {
-        if edge.book.borrow().is_current(target) {
+        if edge.registry.borrow().is_current(target) {
             edge.suspect(target, "it answered no probe of the planner");
         }
     }
--- a/crates/thistlesill-edge/src/peers/place.rs
+++ b/crates/thistlesill-edge/src/peers/place.rs
@@ -19,7 +19,7 @@
 use super::questions::{self, Questions};
 use super::{Reach, link};
 use crate::limits;
-use crate::state::{Asking, Choice, Edge, Pick, PlacedBy};
+use crate::state::{Choice, Edge, Pick, PlacedBy, TargetQuery};
 
 /// Time after its start in which a daemon has heard what its peers have under way.
 const LEARN: Millis = Millis::new(1_200);
@@ -79,15 +79,17 @@
 
 /// Picks a target for a request, or has its owner do so; one that names a limit only with
 /// a grant of its keeper.
-pub(crate) async fn pick(edge: &Edge, asking: Asking<'_>) -> Pick {
+pub(crate) async fn pick(edge: &Edge, asking: TargetQuery<'_>) -> Pick {
     let mut by = PlacedBy::Alone;
     for _ in 0..MAX_DENIED {
         let asked = edge.now();
         let (choice, permit, placed) = pick_or_ask(edge, &asking).await;
         by = placed;
         let clearance = match &choice {
-            Choice::Target(target) => limits::clear(edge, target, permit, asked).await,
-            Choice::Overloaded(_) | Choice::Spent(_) | Choice::Nobody => Some(Clearance::Unlimited),
+            Choice::Target(target) => limits::obtain_clearance(edge, target, permit, asked).await,
+            Choice::Overloaded(_) | Choice::Exhausted(_) | Choice::NoTarget => {
+                Some(Clearance::Unlimited)
+            }
         };
         if let Some(clearance) = clearance {
             metrics::counter!("thistlesill_edge_placed_total", "by" => by.name()).increment(1);
@@ -99,13 +101,13 @@
         }
     }
     Pick {
-        choice: Choice::Spent(Millis::ZERO),
+        choice: Choice::Exhausted(Millis::ZERO),
         by,
         clearance: Clearance::Unlimited,
     }
 }
 
-async fn pick_or_ask(edge: &Edge, asking: &Asking<'_>) -> (Choice, Permit, PlacedBy) {
+async fn pick_or_ask(edge: &Edge, asking: &TargetQuery<'_>) -> (Choice, Permit, PlacedBy) {
     let settings = edge.settings();
     let scope = Scope {
         hall: serving_hall(edge, asking),
@@ -129,9 +131,9 @@
 /// The data centre whose owner places a request: this daemon's, or while that one is
 /// evacuated another, drawn by the targets that serve there. An owner knows the load of its
 /// own data centre exactly, and of others only what was told.
-fn serving_hall(edge: &Edge, asking: &Asking<'_>) -> HallId {
+fn serving_hall(edge: &Edge, asking: &TargetQuery<'_>) -> HallId {
     let hall = edge.settings().hall.clone();
-    let book = edge.book.borrow();
+    let book = edge.registry.borrow();
     if !book.is_evacuated(&hall) {
         return hall;
     }
@@ -146,7 +148,7 @@
     edge: &Edge,
     owner: &NodeId,
     scope: &Scope,
-    asking: &Asking<'_>,
+    asking: &TargetQuery<'_>,
 ) -> Option<(Choice, Permit)> {
     let now = edge.now();
     if !edge.placing.borrow().answering.may_ask(owner, now) {
@@ -155,7 +157,7 @@
     let (id, answer) = edge.placing.borrow_mut().questions.begin();
     let mut avoid = asking.tried.to_vec();
     avoid.extend(edge.loads.borrow().suspects(now));
-    avoid.extend(edge.limits.spent(now));
+    avoid.extend(edge.limits.exhausted(now));
     let question = PlaceAsk {
         from: edge.settings().name.clone(),
         id,
@@ -181,7 +183,7 @@
             return Some((Choice::Target(Box::new(target)), permit));
         }
         Placed::Overloaded(late) => Some(Choice::Overloaded(late)),
-        Placed::Spent(wait) => Some(Choice::Spent(wait)),
+        Placed::Spent(wait) => Some(Choice::Exhausted(wait)),
         // The owner may lag behind; this daemon may know better.
         Placed::Nobody => None,
     };
@@ -189,7 +191,7 @@
 }
 
 fn known(edge: &Edge, scope: &Scope, id: &TargetId) -> Option<Target> {
-    let book = edge.book.borrow();
+    let book = edge.registry.borrow();
     let serving = book.serving(&scope.service, scope.model.as_ref());
     let target = serving.iter().find(|t| t.id == *id);
     target.map(|t| Target::clone(t))
@@ -212,7 +214,7 @@
     let Some(service) = catalog.service(&ask.service) else {
         return;
     };
-    let asking = Asking {
+    let asking = TargetQuery {
         service,
         model: ask.model.as_ref(),
         prompt: ask.prompt,
@@ -223,7 +225,7 @@
     let choice = edge.pick(&asking, Knowledge::Exact);
     let placed = match choice {
         Choice::Target(target) => {
-            let until = edge.now() + edge.trust();
+            let until = edge.now() + edge.peer_data_lifetime();
             let mut loads = edge.loads.borrow_mut();
             loads.add_granted(&ask.from, &target.id, ask.prompt, until);
             let permit = match edge.limits.take(&target.id, edge.now()) {
@@ -234,8 +236,8 @@
             Placed::At(target.id.clone(), permit)
         }
         Choice::Overloaded(late) => Placed::Overloaded(late),
-        Choice::Spent(wait) => Placed::Spent(wait),
-        Choice::Nobody => Placed::Nobody,
+        Choice::Exhausted(wait) => Placed::Spent(wait),
+        Choice::NoTarget => Placed::Nobody,
     };
     let reply = PlaceReply {
         from: edge.settings().name.clone(),
@@ -269,7 +271,7 @@
 
 /// As owner: takes in a peer's requests.
 pub(crate) fn hear_counts(edge: &Edge, counts: Counts) {
-    let until = edge.now() + edge.trust();
+    let until = edge.now() + edge.peer_data_lifetime();
     let list = counts.counts.into_iter().collect();
     edge.loads
         .borrow_mut()
@@ -291,7 +293,7 @@
     loop {
         tokio::time::sleep(TELL).await;
         edge.placing.borrow_mut().tidy();
-        if edge.busy.get() || edge.peers.borrow().any_busy() {
+        if edge.had_requests.get() || edge.peers.borrow().any_busy() {
             rounds += 1;
             tell_totals(&edge, rounds % NEAR_ROUNDS == 0);
         }
@@ -347,7 +349,7 @@
 }
 
 fn work_by_hall(edge: &Edge, scope: &Scope) -> (Vec<(TargetId, Work)>, Far) {
-    let (book, loads, now) = (edge.book.borrow(), edge.loads.borrow(), edge.now());
+    let (book, loads, now) = (edge.registry.borrow(), edge.loads.borrow(), edge.now());
     let (mut own, mut far) = (Vec::new(), Far::default());
     for target in book.serving(&scope.service, scope.model.as_ref()) {
         let work = (target.id.clone(), loads.work(&target.id, now));
--- a/crates/thistlesill-edge/src/peers/roster.rs
+++ b/crates/thistlesill-edge/src/peers/roster.rs
@@ -94,7 +94,7 @@
             join_by_seeds(&edge, &seeds).await;
         }
         let alone = edge.peers.borrow().heard(edge.now()) == 0;
-        if alone || edge.plans.get() || looks % REREAD_LOOKS == 0 {
+        if alone || edge.is_planner.get() || looks % REREAD_LOOKS == 0 {
             remove_silent(&edge).await;
             edge.peers.borrow_mut().forget_silent(edge.now());
             let missing = join(&edge).await == Own::Missing;
@@ -208,7 +208,7 @@
         let part = edge.rng.borrow_mut().random_range(JITTER..1.0);
         tokio::select! {
             () = tokio::time::sleep(pause.mul_f64(part)) => {}
-            () = edge.peer_heard.notified() => {}
+            () = edge.peer_discovered.notified() => {}
         }
         pause = (pause * 2).min(LONGEST_PAUSE);
     }
@@ -273,7 +273,7 @@
 
 /// As planner: removes the rows of daemons that have been silent for long.
 async fn remove_silent(edge: &Edge) {
-    if !edge.plans.get() {
+    if !edge.is_planner.get() {
         return;
     }
     let silent = edge.peers.borrow().silent_for(REMOVED, edge.now());
--- a/crates/thistlesill-edge/src/peers/transfer.rs
+++ b/crates/thistlesill-edge/src/peers/transfer.rs
@@ -275,7 +275,7 @@
         send(&mut frames, &Answer::Soon).await?;
     }
     while !knows(edge, &question) {
-        edge.learned.notified().await;
+        edge.loaded.notified().await;
     }
     if let Question::Members(member) = &question {
         edge.peers.borrow_mut().note_member(member, edge.now());
@@ -342,9 +342,9 @@
     let now = edge.now();
     Some(State {
         packed: pack_known(edge)?,
-        proof: edge.fresh.get().age(now),
+        proof: edge.catalog_freshness.get().age(now),
         age: edge.targets_age(),
-        steady: edge.book.borrow().store_uptime(now),
+        steady: edge.registry.borrow().store_uptime(now),
         evacuated: edge.evacuations.borrow().known().clone(),
     })
 }
@@ -361,7 +361,7 @@
             } else {
                 Bytes::new()
             },
-            targets: edge.book.borrow().listed().cloned().collect(),
+            targets: edge.registry.borrow().listed().cloned().collect(),
             version,
         })
     })
--- a/crates/thistlesill-edge/src/planner.rs
+++ b/crates/thistlesill-edge/src/planner.rs
@@ -80,7 +80,7 @@
         tokio::time::sleep(LOOK_LEAST).await;
         tokio::select! {
             () = tokio::time::sleep(LOOK) => {}
-            () = planner.edge.fleet_news.notified() => {}
+            () = planner.edge.fleet_changed.notified() => {}
         }
     }
     planner.give_up().await;
@@ -110,7 +110,7 @@
         }
         self.edge.peers.borrow_mut().shown = None;
         // The process waits for this before it ends.
-        self.edge.plans.set(false);
+        self.edge.is_planner.set(false);
         // The next beat may be due after the process has ended.
         link::tell_beat(&self.edge, Reach::All);
     }
@@ -143,7 +143,7 @@
         };
         self.note(news);
         let holds = self.lease.borrow().term(self.edge.now()).is_some();
-        self.edge.plans.set(holds);
+        self.edge.is_planner.set(holds);
         self.edge.peers.borrow_mut().shown = self.lease.borrow().snapshot().filter(|_| holds);
     }
 
@@ -164,7 +164,7 @@
         }
         let silence = now - peers.planner_heard().unwrap_or(self.edge.started);
         // While the store is away, hundreds that look for the lease find nothing.
-        let orphaned = silence >= ORPHANED && !self.edge.is_away();
+        let orphaned = silence >= ORPHANED && !self.edge.is_store_unreachable();
         orphaned || follow::reads_for_others(&self.edge)
     }
 
@@ -215,7 +215,7 @@
     /// these go over all targets at each look.
     fn may_succeed(&self, now: Millis) -> bool {
         let (settings, peers) = (self.edge.settings(), self.edge.peers.borrow());
-        let away = self.edge.is_away();
+        let away = self.edge.is_store_unreachable();
         !peers.is_listed() || peers.ahead(&settings.name, away, &settings.hall, now) < SUCCESSORS
     }
 
@@ -223,7 +223,7 @@
     /// knows of all.
     fn watch(&self, catalog: &Catalog, now: Millis) -> Option<Vec<GroupRef>> {
         let told = self.edge.peers.borrow_mut().told_late.take();
-        let book = self.edge.book.borrow();
+        let book = self.edge.registry.borrow();
         let mut fleets = self.fleets.borrow_mut();
         let mut late = Some(Vec::new());
         for service in catalog.services().filter(|s| s.engine.is_some()) {
@@ -250,13 +250,13 @@
     ) -> (Vec<TargetId>, Option<Vec<GroupRef>>) {
         let edge = &self.edge;
         let stalled = self.stalled(now);
-        let before_traffic = !edge.busy.get() && !edge.peers.borrow().any_busy();
+        let before_traffic = !edge.had_requests.get() && !edge.peers.borrow().any_busy();
         let slow = self.slow(now);
         let working = self.working(now);
         let requests = edge.loads.borrow().requests(now);
         let told = edge.peers.borrow_mut().told_late.take();
         let evacuations = edge.evacuations.borrow();
-        let book = edge.book.borrow();
+        let book = edge.registry.borrow();
         let (mut dead, mut late) = (Vec::new(), Some(Vec::new()));
         for service in catalog.services() {
             let (Some(engine), Some(targets)) = (&service.engine, book.of_service(&service.name))
@@ -325,7 +325,7 @@
         }
         noted.insert(service.clone(), now);
         let census = fleet.census(view);
-        figures::note_fleet(service, &census, passed);
+        figures::record_census(service, &census, passed);
         let mut line = self.edge.lines.line("fleet").with("service", service);
         for model in &census.models {
             line = line.with("model", model);
@@ -340,7 +340,7 @@
     /// What callers ask all daemons for, of one service.
     fn demand(&self, service: &ServiceName, now: Millis) -> Demand {
         let mut demand = self.edge.peers.borrow().demand(service, now);
-        let own = self.edge.asked.borrow_mut().work(now);
+        let own = self.edge.demand_meter.borrow_mut().work(now);
         for ((name, model), work) in own {
             if name == *service {
                 *demand.entry(model).or_default() += work;
@@ -355,7 +355,7 @@
         service: &ServiceName,
         targets: &HashMap<TargetId, Target>,
     ) -> HashMap<TargetId, f64> {
-        let asked = self.edge.asked.borrow();
+        let asked = self.edge.demand_meter.borrow();
         let room = |(id, limit): (TargetId, RateLimit)| {
             let model = targets.get(&id)?.model()?;
             let each = asked.work_per_request(service, model)?;
@@ -442,7 +442,7 @@
                     });
                 }
             }
-            planner.edge.fleet_news.notify_one();
+            planner.edge.fleet_changed.notify_one();
         });
     }
 
--- a/crates/thistlesill-edge/src/proxy.rs
+++ b/crates/thistlesill-edge/src/proxy.rs
@@ -43,11 +43,11 @@
 /// Answers one request of a caller.
 pub(crate) async fn handle(edge: Rc<Edge>, request: Request<Incoming>) -> Response<OutBody> {
     let arrived = edge.now();
-    edge.busy.set(true);
+    edge.had_requests.set(true);
     let (parts, body) = request.into_parts();
     let head = caller::read_caller(&parts.headers);
     let mut track = Track::new(&edge, &head.id, arrived);
-    edge.wait_to_learn().await;
+    edge.wait_until_loaded().await;
     let body = match read_body(&edge, body).await {
         Ok(body) => body,
         Err(kind) => return track.refuse(kind, None),
@@ -59,7 +59,7 @@
     track.admitted(&passage);
     if !fits_stop(&edge, passage.timeout) {
         let why = "the daemon stops before it would end";
-        return track.because(why).refuse(ErrorKind::NotReady, None);
+        return track.with_reason(why).refuse(ErrorKind::NotReady, None);
     }
     let request = Arrival {
         head,
@@ -111,7 +111,7 @@
     };
     let settings = edge.settings();
     let catalog = edge.catalog();
-    let fresh = edge.fresh.get();
+    let fresh = edge.catalog_freshness.get();
     let rng = &mut *edge.rng.borrow_mut();
     admit(
         catalog.as_deref(),
@@ -128,7 +128,7 @@
     let edge = &job.edge;
     let mut attempts = Attempts::default();
     let mut tried: Vec<TargetId> = Vec::new();
-    edge.earn_retry(&job.passage.service.name);
+    edge.deposit_retry(&job.admission.service.name);
     if job.head.last_event.is_some() {
         give_way(&job).await;
     }
@@ -136,7 +136,7 @@
         // A request that ends its targets comes again with another id at any daemon: in
         // seven seconds it ended 57 targets, and 4 with this (three daemons, two targets).
         if let Some(left) = quarantine::withheld(&job) {
-            track.withheld(job.print());
+            track.withheld(job.fingerprint());
             return if attempts.may_have_run {
                 track.refuse(ErrorKind::SentUnknown, None)
             } else {
@@ -150,28 +150,32 @@
         } = job.pick(&tried).await;
         track.placed(by);
         if tried.is_empty() {
-            job.note_asked(!matches!(choice, Choice::Target(_)));
+            job.record_demand(!matches!(choice, Choice::Target(_)));
         }
         let target = match choice {
             Choice::Target(target) => *target,
             Choice::Overloaded(late) => {
                 return track.refuse(ErrorKind::Overloaded, Some(come_back(late)));
             }
-            Choice::Spent(wait) if attempts == Attempts::default() => {
+            Choice::Exhausted(wait) if attempts == Attempts::default() => {
                 let why = "the targets' limits are used up";
                 let back = come_back(wait);
-                return track.because(why).refuse(ErrorKind::Overloaded, Some(back));
+                return track
+                    .with_reason(why)
+                    .refuse(ErrorKind::Overloaded, Some(back));
+            }
+            Choice::Exhausted(_) | Choice::NoTarget => {
+                return track.refuse(no_target(attempts), None);
             }
-            Choice::Spent(_) | Choice::Nobody => return track.refuse(no_target(attempts), None),
         };
-        if job.passage.customer.is_some() && !edge.is_fresh() {
+        if job.admission.customer.is_some() && !edge.is_fresh() {
             return track
-                .because("no young proof")
+                .with_reason("no young proof")
                 .refuse(stale(attempts), None);
         }
         tried.push(target.id.clone());
         track.sent(&target);
-        let turn = Turn::after(attempts.sent, job.passage.route.attempts);
+        let turn = Turn::after(attempts.sent, job.admission.route.attempts);
         let failure = match attempt(&job, &target, clearance, &tried, None, turn).await {
             Ok(answered) => match deliver(&job, answered, attempts, &mut track).await {
                 Ok(response) => return response,
@@ -179,7 +183,7 @@
             },
             Err(failure) => failure,
         };
-        let next = settle(&job, &target, &failure, &mut attempts, &track);
+        let next = resolve_failure(&job, &target, &failure, &mut attempts, &track);
         match next {
             NextStep::Retry => {}
             NextStep::Forward => match failure.answer {
@@ -197,23 +201,23 @@
 /// such streams come at once.
 async fn give_way(job: &Job) {
     let until = job.edge.now() + GIVE_WAY;
-    let (service, model) = (&job.passage.service, job.head.model.as_ref());
+    let (service, model) = (&job.admission.service, job.head.model.as_ref());
     while job.edge.now() < until && !job.edge.has_room(service, model) {
         tokio::time::sleep(LOOK).await;
     }
 }
 
 /// Notes what became of an attempt and decides what follows.
-pub(crate) fn settle(
+pub(crate) fn resolve_failure(
     job: &Job,
     target: &Target,
     failure: &Failure,
     attempts: &mut Attempts,
     track: &Track,
 ) -> NextStep {
-    let service = &job.passage.service.name;
-    let allowed = job.passage.route.attempts;
-    let spend = || job.edge.spend_retry(service);
+    let service = &job.admission.service.name;
+    let allowed = job.admission.route.attempts;
+    let spend = || job.edge.withdraw_retry(service);
     let next = next_step(failure.outcome, attempts, job.may_repeat(), allowed, spend);
     track.attempt_failed(target, failure.outcome, &failure.why, next);
     next
@@ -249,7 +253,7 @@
     attempts: Attempts,
     track: &mut Track,
 ) -> Result<Response<OutBody>, Failure> {
-    let stream = job.passage.route.kind == RouteKind::Stream && answered.status.is_success();
+    let stream = job.admission.route.kind == RouteKind::Stream && answered.status.is_success();
     if stream {
         return Ok(relay::begin(job.clone(), answered, attempts, track));
     }
@@ -265,7 +269,7 @@
     let edge = &job.edge;
     let large = hyper::body::Body::size_hint(&answered.body).lower() > MAX_HELD;
     if large {
-        return Ok(relay::pass_on(job.clone(), answered, track));
+        return Ok(relay::forward(job.clone(), answered, track));
     }
     let Answered {
         status,
@@ -276,7 +280,10 @@
         target,
         flight,
     } = answered;
-    let read = edge.alarm.in_time(job.last_answer(), body.collect()).await;
+    let read = edge
+        .alarm
+        .in_time(job.answer_deadline(), body.collect())
+        .await;
     drop(flight);
     let body = match read {
         Some(Ok(body)) => body.to_bytes(),
@@ -296,14 +303,14 @@
         .borrow_mut()
         .note_time(&target.id, now - job.arrived);
     if status.is_success() {
-        quarantine::note_good(job);
+        quarantine::note_success(job);
     }
     if !info.closing {
-        job.keep_lane(&target.id, lane, info.keep);
+        job.return_lane(&target.id, lane, info.keep);
     }
     caller::remove_hop(&mut headers);
     track.ended(status.as_u16(), Some(&target.id), body.len());
-    Ok(reply::whole(status, headers, body))
+    Ok(reply::complete(status, headers, body))
 }
 
 /// Hands on a target's own failure.
--- a/crates/thistlesill-edge/src/quarantine.rs
+++ b/crates/thistlesill-edge/src/quarantine.rs
@@ -45,7 +45,7 @@
 
 /// What this daemon knows of requests that end targets, and has not told yet.
 #[derive(Debug, Default)]
-pub(crate) struct Cases {
+pub(crate) struct QuarantineState {
     known: RefCell<Quarantine<TargetId>>,
     untold: RefCell<Untold>,
     unwritten: RefCell<Vec<Verdict>>,
@@ -73,7 +73,7 @@
     until: u64,
 }
 
-impl Cases {
+impl QuarantineState {
     /// What two daemons share that know the same verdicts.
     pub(crate) fn digest(&self) -> u64 {
         self.known.borrow().digest()
@@ -105,18 +105,18 @@
 /// call, and withheld by all other daemons until that has an outcome.
 pub(crate) fn withheld(job: &Job) -> Option<Millis> {
     let edge = &job.edge;
-    if edge.cases.known.borrow().is_empty() {
+    if edge.quarantine.known.borrow().is_empty() {
         return None;
     }
-    let (print, now) = (job.print(), edge.now());
-    let standing = edge.cases.known.borrow().status(print, now);
+    let (print, now) = (job.fingerprint(), edge.now());
+    let standing = edge.quarantine.known.borrow().status(print, now);
     match standing {
         QuarantineStatus::Free => None,
         QuarantineStatus::Tried(_) if job.trial.get() => None,
         QuarantineStatus::Tried(left) | QuarantineStatus::Withheld(left) => Some(left),
         QuarantineStatus::Trial => {
             job.trial.set(true);
-            let verdict = edge.cases.known.borrow_mut().begin_trial(print, now);
+            let verdict = edge.quarantine.known.borrow_mut().begin_trial(print, now);
             let line = edge.lines.line("withheld_tried").with("id", &job.head.id);
             line.with("print", print).write();
             if let Some(verdict) = verdict {
@@ -135,17 +135,17 @@
     }
     let edge = &job.edge;
     let verdict = {
-        let mut known = edge.cases.known.borrow_mut();
-        known.end_trial(job.print(), edge.now())
+        let mut known = edge.quarantine.known.borrow_mut();
+        known.end_trial(job.fingerprint(), edge.now())
     };
     if let Some(verdict) = verdict {
-        edge.cases.tell_verdict(verdict);
+        edge.quarantine.tell_verdict(verdict);
     }
 }
 
 /// Notes that the connection to a target ended while a request was there.
 pub(crate) fn note_lost(job: &Job, target: &Target, why: &str) {
-    let (edge, print) = (&job.edge, job.print());
+    let (edge, print) = (&job.edge, job.fingerprint());
     let beside = edge.loads.borrow().work(&target.id, edge.now()).requests;
     edge.lines
         .line("lost_with_target")
@@ -157,36 +157,36 @@
         .write();
     edge.suspect(&target.id, why);
     let verdict = {
-        let mut known = edge.cases.known.borrow_mut();
+        let mut known = edge.quarantine.known.borrow_mut();
         known.note_lost(print, &target.id, edge.now())
     };
     let loss = (print, target.id.clone());
-    edge.cases.untold.borrow_mut().lost.push(loss);
-    edge.cases.news.notify_one();
+    edge.quarantine.untold.borrow_mut().lost.push(loss);
+    edge.quarantine.news.notify_one();
     if let Some(verdict) = verdict {
         note_verdict(edge, &verdict, &job.head.id);
-        edge.cases.tell_verdict(verdict);
-        edge.cases.keep(verdict);
+        edge.quarantine.tell_verdict(verdict);
+        edge.quarantine.keep(verdict);
     }
 }
 
 /// Notes that a request ran to a good end.
-pub(crate) fn note_good(job: &Job) {
+pub(crate) fn note_success(job: &Job) {
     let edge = &job.edge;
-    if edge.cases.known.borrow().is_empty() {
+    if edge.quarantine.known.borrow().is_empty() {
         return;
     }
     let verdict = {
-        let mut known = edge.cases.known.borrow_mut();
-        known.note_success(job.print(), edge.now())
+        let mut known = edge.quarantine.known.borrow_mut();
+        known.note_success(job.fingerprint(), edge.now())
     };
     let Some(verdict) = verdict else {
         return;
     };
-    edge.cases.tell_verdict(verdict);
+    edge.quarantine.tell_verdict(verdict);
     if verdict.round > 0 {
         note_verdict(edge, &verdict, &job.head.id);
-        edge.cases.keep(verdict);
+        edge.quarantine.keep(verdict);
     }
 }
 
@@ -205,11 +205,11 @@
 }
 
 /// Tells the other daemons what is new, for ever.
-pub(crate) async fn run(edge: Rc<Edge>) {
+pub(crate) async fn send_updates(edge: Rc<Edge>) {
     loop {
-        edge.cases.news.notified().await;
+        edge.quarantine.news.notified().await;
         tokio::time::sleep(GATHER).await;
-        let untold = std::mem::take(&mut *edge.cases.untold.borrow_mut());
+        let untold = std::mem::take(&mut *edge.quarantine.untold.borrow_mut());
         for part in untold.lost.chunks(MAX_TOLD) {
             link::tell_peers(&edge, &Packet::Lost(part.to_vec()), Reach::All);
         }
@@ -221,9 +221,9 @@
 
 /// Takes in under which requests a peer lost targets. Whoever saw the last of them tells
 /// the verdict.
-pub(crate) fn hear_lost(edge: &Edge, lost: &[(Fingerprint, TargetId)]) {
+pub(crate) fn receive_losses(edge: &Edge, lost: &[(Fingerprint, TargetId)]) {
     let now = edge.now();
-    let mut known = edge.cases.known.borrow_mut();
+    let mut known = edge.quarantine.known.borrow_mut();
     for (print, target) in lost {
         if let Some(verdict) = known.note_lost(*print, target, now) {
             note_verdict(edge, &verdict, "losses of peers");
@@ -232,9 +232,9 @@
 }
 
 /// Takes in verdicts of a peer.
-pub(crate) fn hear_verdicts(edge: &Edge, verdicts: &[Verdict]) {
+pub(crate) fn receive_verdicts(edge: &Edge, verdicts: &[Verdict]) {
     let now = edge.now();
-    let mut known = edge.cases.known.borrow_mut();
+    let mut known = edge.quarantine.known.borrow_mut();
     for verdict in verdicts {
         if known.receive(*verdict, now) && verdict.round > 0 {
             note_verdict(edge, verdict, "a peer");
@@ -243,40 +243,40 @@
 }
 
 /// Takes in the digest of a peer's verdicts, and asks for them if this daemon's differ.
-pub(crate) fn hear_digest(edge: &Edge, peer: &NodeId, digest: u64) {
-    if digest == 0 || digest == edge.cases.digest() {
+pub(crate) fn receive_digest(edge: &Edge, peer: &NodeId, digest: u64) {
+    if digest == 0 || digest == edge.quarantine.digest() {
         return;
     }
     let now = edge.now();
-    if now - edge.cases.asked.get() < ASK_GAP {
+    if now - edge.quarantine.asked.get() < ASK_GAP {
         return;
     }
-    edge.cases.asked.set(now);
+    edge.quarantine.asked.set(now);
     let me = edge.settings().name.clone();
     link::tell(edge, peer, &Packet::AskVerdicts(me));
 }
 
 /// Tells a peer what is withheld, and what was cleared a short time ago.
-pub(crate) fn answer(edge: &Edge, peer: &NodeId) {
-    let mut all = edge.cases.known.borrow().verdicts(edge.now());
+pub(crate) fn send_verdicts(edge: &Edge, peer: &NodeId) {
+    let mut all = edge.quarantine.known.borrow().verdicts(edge.now());
     all.truncate(MAX_HANDED);
     link::tell(edge, peer, &Packet::Verdicts(all));
 }
 
 /// Reads what was withheld when all daemons were lost, if this daemon reads the store for
 /// others that start; then writes what is decided, for ever.
-pub(crate) async fn keep(edge: Rc<Edge>) {
+pub(crate) async fn persist(edge: Rc<Edge>) {
     start::await_turn(&edge).await;
     if edge.start.get() == Start::Reads && !edge.settings().first_start {
         read_rows(&edge).await;
     }
     loop {
-        edge.cases.decided.notified().await;
+        edge.quarantine.decided.notified().await;
         loop {
-            let next = edge.cases.unwritten.borrow().first().copied();
+            let next = edge.quarantine.unwritten.borrow().first().copied();
             let Some(verdict) = next else { break };
             if write_row(&edge, &verdict).await {
-                let mut unwritten = edge.cases.unwritten.borrow_mut();
+                let mut unwritten = edge.quarantine.unwritten.borrow_mut();
                 unwritten.retain(|v| *v != verdict);
             } else {
                 tokio::time::sleep(PAUSE).await;
@@ -309,7 +309,12 @@
                 left: Millis::new(kept.until.saturating_sub(wall)),
                 trial: false,
             };
-            if edge.cases.known.borrow_mut().receive(verdict, edge.now()) {
+            if edge
+                .quarantine
+                .known
+                .borrow_mut()
+                .receive(verdict, edge.now())
+            {
                 note_verdict(edge, &verdict, "the store");
             }
         }
--- a/crates/thistlesill-edge/src/relay.rs
+++ b/crates/thistlesill-edge/src/relay.rs
@@ -19,13 +19,13 @@
 use thistlesill_policy::edge::attempt::{Attempts, NextStep, Outcome, next_step};
 
 use self::cutter::Cutter;
-pub(crate) use self::passing::pass_on;
+pub(crate) use self::passing::forward;
 use crate::attempt::{Answered, Turn, attempt};
 use crate::flight::InFlight;
 use crate::job::Job;
-use crate::proxy::settle;
+use crate::proxy::resolve_failure;
 use crate::quarantine;
-use crate::reply::{self, BrokenOff, OutBody};
+use crate::reply::{self, Interrupted, OutBody};
 use crate::state::{Choice, Pick};
 use crate::track::Track;
 
@@ -38,8 +38,8 @@
 
 /// Ends when a target that has a resumable stream of ours has sent nothing to
 /// any of this daemon's streams for too long.
-pub(crate) async fn stall(job: &Job, target: &Target, first: bool) {
-    let route = &job.passage.route;
+pub(crate) async fn wait_for_stall(job: &Job, target: &Target, first: bool) {
+    let route = &job.admission.route;
     let (RouteKind::Stream, true, Some(pause)) = (route.kind, route.resumable, route.pause) else {
         return pending::<()>().await;
     };
@@ -48,7 +48,7 @@
     } else {
         part(pause, STALL_PART)
     };
-    let engine = job.passage.service.engine.as_ref();
+    let engine = job.admission.service.engine.as_ref();
     let start = job.edge.now();
     loop {
         let due = {
@@ -146,7 +146,7 @@
     fn note_event(&mut self, job: &Job) {
         let now = job.edge.now();
         let mut loads = job.edge.loads.borrow_mut();
-        let engine = job.passage.service.engine.as_ref();
+        let engine = job.admission.service.engine.as_ref();
         if let (Some(last), Some(engine)) = (self.last, engine) {
             loads.note_pause(&self.target, engine, now - last, now);
         }
@@ -192,11 +192,11 @@
         handed: None,
         longest: Pause::default(),
     };
-    reply::pieces(status, headers, relay.pieces())
+    reply::streamed(status, headers, relay.pieces())
 }
 
 impl Relay {
-    fn pieces(self) -> impl Stream<Item = Result<Bytes, BrokenOff>> {
+    fn pieces(self) -> impl Stream<Item = Result<Bytes, Interrupted>> {
         stream::try_unfold(self, |mut relay| async move {
             let piece = relay.next().await?;
             Ok(piece.map(|piece| (piece, relay)))
@@ -204,7 +204,7 @@
     }
 
     /// The next events for the caller; `None` at the end of the stream.
-    async fn next(&mut self) -> Result<Option<Bytes>, BrokenOff> {
+    async fn next(&mut self) -> Result<Option<Bytes>, Interrupted> {
         loop {
             if let Some(piece) = self.cutter.take() {
                 if self.bytes == 0 {
@@ -236,7 +236,7 @@
             if stay {
                 pending::<()>().await;
             }
-            stall(&job, &target, first).await;
+            wait_for_stall(&job, &target, first).await;
         };
         tokio::select! {
             biased;
@@ -247,7 +247,7 @@
                         self.longest.note(&self.job, &target, handed, asked);
                     }
                     if let Ok(data) = frame.into_data() {
-                        source.flight.begun();
+                        source.flight.end_prefill();
                         self.cutter.push(&data);
                     }
                     None
@@ -262,7 +262,7 @@
     }
 
     /// Takes the stream up at another target, if one may and can.
-    async fn take_up(&mut self, stop: Stop) -> Result<(), BrokenOff> {
+    async fn take_up(&mut self, stop: Stop) -> Result<(), Interrupted> {
         let why = match stop {
             Stop::Stalled => "no event for too long",
             _ => "the stream broke off",
@@ -282,7 +282,7 @@
         while again {
             let job = self.job.clone();
             if quarantine::withheld(&job).is_some() {
-                self.track.withheld(job.print());
+                self.track.withheld(job.fingerprint());
                 end = ErrorKind::Withheld.name();
                 break;
             }
@@ -294,12 +294,12 @@
             else {
                 break;
             };
-            if job.passage.customer.is_some() && !job.edge.is_fresh() {
+            if job.admission.customer.is_some() && !job.edge.is_fresh() {
                 break;
             }
             self.tried.push(target.id.clone());
             let last_event = self.cutter.last().or(job.head.last_event.as_deref());
-            let turn = Turn::after(self.attempts.sent, job.passage.route.attempts);
+            let turn = Turn::after(self.attempts.sent, job.admission.route.attempts);
             match attempt(&job, &target, clearance, &self.tried, last_event, turn).await {
                 Ok(answered) if answered.status.is_success() => {
                     let from = self.tried.first().cloned().unwrap_or_default();
@@ -314,7 +314,7 @@
                 Ok(_) => break,
                 Err(failure) => {
                     let attempts = &mut self.attempts;
-                    let next = settle(&job, &target, &failure, attempts, &self.track);
+                    let next = resolve_failure(&job, &target, &failure, attempts, &self.track);
                     again = next == NextStep::Retry;
                 }
             }
@@ -331,8 +331,8 @@
         let job = &self.job;
         let mut attempts = self.attempts;
         attempts.sent = attempts.sent.saturating_sub(1);
-        let spend = || job.edge.spend_retry(&job.passage.service.name);
-        let allowed = job.passage.route.attempts;
+        let spend = || job.edge.withdraw_retry(&job.admission.service.name);
+        let allowed = job.admission.route.attempts;
         let outcome = Outcome::MayHaveRun;
         next_step(outcome, &mut attempts, job.may_repeat(), allowed, spend) == NextStep::Retry
     }
@@ -342,19 +342,19 @@
         if let Some(source) = self.source.take() {
             self.track.paused(self.longest);
             self.track.ended(200, Some(&source.target.id), bytes);
-            quarantine::note_good(&self.job);
+            quarantine::note_success(&self.job);
             if !source.closing {
                 self.job
-                    .keep_lane(&source.target.id, source.lane, source.keep);
+                    .return_lane(&source.target.id, source.lane, source.keep);
             }
         }
         None
     }
 
-    fn break_off(&mut self, why: &str) -> BrokenOff {
+    fn break_off(&mut self, why: &str) -> Interrupted {
         let target = self.tried.last().cloned().unwrap_or_default();
         self.track.paused(self.longest);
         self.track.broke_off(&target, self.bytes, why);
-        BrokenOff
+        Interrupted
     }
 }
--- a/crates/thistlesill-edge/src/relay/passing.rs
+++ b/crates/thistlesill-edge/src/relay/passing.rs
@@ -12,7 +12,7 @@
 use crate::attempt::Answered;
 use crate::job::Job;
 use crate::quarantine;
-use crate::reply::{self, BrokenOff, OutBody};
+use crate::reply::{self, Interrupted, OutBody};
 use crate::track::Track;
 
 /// An answer under way.
@@ -24,7 +24,7 @@
 }
 
 /// Hands a large plain answer on as it comes.
-pub(crate) fn pass_on(job: Rc<Job>, answered: Answered, track: &mut Track) -> Response<OutBody> {
+pub(crate) fn forward(job: Rc<Job>, answered: Answered, track: &mut Track) -> Response<OutBody> {
     let status = answered.status;
     let mut headers = answered.headers.clone();
     caller::remove_hop(&mut headers);
@@ -38,12 +38,12 @@
         let piece = passing.next().await?;
         Ok(piece.map(|piece| (piece, passing)))
     });
-    reply::pieces(status, headers, pieces)
+    reply::streamed(status, headers, pieces)
 }
 
 impl Passing {
     /// The next piece of the answer; `None` at its end.
-    async fn next(&mut self) -> Result<Option<Bytes>, BrokenOff> {
+    async fn next(&mut self) -> Result<Option<Bytes>, Interrupted> {
         loop {
             let alarm = &self.job.edge.alarm;
             let frame = alarm.in_time(self.job.due, self.source.body.frame());
@@ -54,7 +54,7 @@
                 None => {
                     let target = &self.source.target.id;
                     self.track.ended(200, Some(target), self.bytes);
-                    quarantine::note_good(&self.job);
+                    quarantine::note_success(&self.job);
                     return Ok(None);
                 }
                 Some(Err(_)) => {
@@ -71,9 +71,9 @@
         }
     }
 
-    fn break_off(&mut self, why: &str) -> BrokenOff {
+    fn break_off(&mut self, why: &str) -> Interrupted {
         self.track
             .broke_off(&self.source.target.id, self.bytes, why);
-        BrokenOff
+        Interrupted
     }
 }
--- a/crates/thistlesill-edge/src/reply.rs
+++ b/crates/thistlesill-edge/src/reply.rs
@@ -15,29 +15,29 @@
 /// The answer breaks off; the connection to the caller ends with it.
 #[derive(Debug, Snafu)]
 #[snafu(display("the answer broke off"))]
-pub(crate) struct BrokenOff;
+pub(crate) struct Interrupted;
 
-type Pieces = Pin<Box<dyn Stream<Item = Result<Bytes, BrokenOff>>>>;
+type Pieces = Pin<Box<dyn Stream<Item = Result<Bytes, Interrupted>>>>;
 
 /// The body of an answer.
 pub(crate) enum OutBody {
     /// Known whole.
-    Whole(Option<Bytes>),
+    Complete(Option<Bytes>),
     /// Comes piece by piece.
-    Pieces(Pieces),
+    Streamed(Pieces),
 }
 
 impl Body for OutBody {
     type Data = Bytes;
-    type Error = BrokenOff;
+    type Error = Interrupted;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, Interrupted>>> {
         match &mut *self {
-            Self::Whole(bytes) => Poll::Ready(bytes.take().map(|b| Ok(Frame::data(b)))),
-            Self::Pieces(pieces) => {
+            Self::Complete(bytes) => Poll::Ready(bytes.take().map(|b| Ok(Frame::data(b)))),
+            Self::Streamed(pieces) => {
                 let next = std::task::ready!(pieces.as_mut().poll_next(cx));
                 Poll::Ready(next.map(|piece| piece.map(Frame::data)))
             }
@@ -45,34 +45,34 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, Self::Whole(None))
+        matches!(self, Self::Complete(None))
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(bytes) => {
+            Self::Complete(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |b| b.len() as u64))
             }
-            Self::Pieces(_) => SizeHint::default(),
+            Self::Streamed(_) => SizeHint::default(),
         }
     }
 }
 
 /// An answer whose body is known whole.
-pub(crate) fn whole(status: StatusCode, headers: HeaderMap, body: Bytes) -> Response<OutBody> {
-    let mut answer = Response::new(OutBody::Whole(Some(body).filter(|b| !b.is_empty())));
+pub(crate) fn complete(status: StatusCode, headers: HeaderMap, body: Bytes) -> Response<OutBody> {
+    let mut answer = Response::new(OutBody::Complete(Some(body).filter(|b| !b.is_empty())));
     *answer.status_mut() = status;
     *answer.headers_mut() = headers;
     answer
 }
 
 /// An answer whose body comes piece by piece.
-pub(crate) fn pieces(
+pub(crate) fn streamed(
     status: StatusCode,
     headers: HeaderMap,
-    pieces: impl Stream<Item = Result<Bytes, BrokenOff>> + 'static,
+    pieces: impl Stream<Item = Result<Bytes, Interrupted>> + 'static,
 ) -> Response<OutBody> {
-    let mut answer = Response::new(OutBody::Pieces(Box::pin(pieces)));
+    let mut answer = Response::new(OutBody::Streamed(Box::pin(pieces)));
     *answer.status_mut() = status;
     *answer.headers_mut() = headers;
     answer
@@ -87,5 +87,5 @@
     if let Retry::After(usual) = row.retry {
         set_retry_after(&mut headers, after.unwrap_or(usual));
     }
-    whole(status, headers, Bytes::from_static(row.text.as_bytes()))
+    complete(status, headers, Bytes::from_static(row.text.as_bytes()))
 }
--- a/crates/thistlesill-edge/src/start.rs
+++ b/crates/thistlesill-edge/src/start.rs
@@ -57,15 +57,15 @@
     edge.lines.line("start_source").with("from", from).write();
     edge.start.set(next);
     // Found out later only, it would read the catalog a second time to begin with.
-    edge.reads
+    edge.is_reader
         .set(next == Start::Reads && !edge.settings().first_start);
-    edge.start_over.notify_waiters();
+    edge.start_ended.notify_waiters();
 }
 
 /// Waits until the daemon may read the store, if it has not learned all before.
 pub(crate) async fn await_turn(edge: &Edge) {
     while edge.start.get() == Start::Waits {
-        edge.start_over.notified().await;
+        edge.start_ended.notified().await;
     }
 }
 
@@ -83,7 +83,7 @@
     while !edge.peers.borrow().is_listed() {
         tokio::select! {
             () = edge.listed.notified() => {}
-            () = edge.targets_news.notified() => if fetch_lack(edge).await {
+            () = edge.newer_targets.notified() => if fetch_lack(edge).await {
                 return Word::Told;
             },
             // Without the list, this daemon knows of nobody above it.
@@ -131,7 +131,7 @@
 /// missed changes that are not told one by one, or all, since the store was busy when it
 /// started. Returns whether that worked.
 pub(crate) async fn fetch_lack(edge: &Edge) -> bool {
-    let Some(address) = edge.targets_at.take() else {
+    let Some(address) = edge.targets_source.take() else {
         return false;
     };
     let asked = edge.now();
@@ -169,7 +169,7 @@
     evacuation::replace(edge, state.evacuated.clone());
     let is_news = watch::put_targets(edge, known.targets, known.version);
     if let Some(steady) = state.steady.filter(|_| is_news) {
-        edge.book
+        edge.registry
             .borrow_mut()
             .set_store_up_since(edge.now() - steady);
     }
@@ -182,7 +182,7 @@
     let taken = watch::put_text(edge, &known.catalog);
     if let Some(proof) = state.proof.filter(|_| taken) {
         // What is in force is that catalog or a later one, and there was none later then.
-        edge.confirm(asked - proof);
+        edge.confirm_catalog(asked - proof);
     }
     is_news && taken
 }
--- a/crates/thistlesill-edge/src/state.rs
+++ b/crates/thistlesill-edge/src/state.rs
@@ -31,7 +31,7 @@
 use crate::peers::traffic::Traffic;
 use crate::peers::transfer::Packed;
 use crate::peers::{Peers, link};
-use crate::quarantine::Cases;
+use crate::quarantine::QuarantineState;
 use crate::start::Start;
 use thistlesill_policy::edge::feed::Feed;
 
@@ -66,7 +66,7 @@
 const BLIND: Millis = Millis::new(400);
 
 /// A request that asks for a target.
-pub(crate) struct Asking<'a> {
+pub(crate) struct TargetQuery<'a> {
     pub(crate) service: &'a Service,
     pub(crate) model: Option<&'a Model>,
     /// Tokens of the prompt.
@@ -79,7 +79,7 @@
     pub(crate) first: bool,
 }
 
-impl Asking<'_> {
+impl TargetQuery<'_> {
     /// The model that decides which targets serve it.
     pub(crate) fn served_model(&self) -> Option<&Model> {
         self.model.filter(|_| self.service.engine.is_some())
@@ -100,9 +100,9 @@
     /// Nowhere now: it would begin too late by this much.
     Overloaded(Millis),
     /// Nowhere now: the targets' limits leave room for it after this time.
-    Spent(Millis),
+    Exhausted(Millis),
     /// Nowhere: no target serves what it asks for.
-    Nobody,
+    NoTarget,
 }
 
 /// What was decided on the next attempt of a request.
@@ -115,7 +115,7 @@
 
 /// Changes of targets that a daemon heard of and does not have.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Lack {
+pub(crate) struct FeedGap {
     /// Their newest version.
     pub(crate) version: u64,
     /// Since when it lacks them, or when it last asked.
@@ -164,28 +164,28 @@
     /// The daemons that are known, by the revision of their list.
     pub(crate) packed_members: Packed<u64>,
     /// Where a peer is that knows changes of targets which are not told one by one.
-    pub(crate) targets_at: Cell<Option<SocketAddr>>,
+    pub(crate) targets_source: Cell<Option<SocketAddr>>,
     /// Where the newer catalog is that a peer told of.
-    pub(crate) catalog_at: Cell<Option<SocketAddr>>,
+    pub(crate) catalog_source: Cell<Option<SocketAddr>>,
     /// When the catalog in force was last known to be the newest.
-    pub(crate) fresh: Cell<Freshness>,
+    pub(crate) catalog_freshness: Cell<Freshness>,
     /// When the targets' entries were last known to be the newest.
-    pub(crate) targets_fresh: Cell<Freshness>,
+    pub(crate) targets_freshness: Cell<Freshness>,
     /// When this daemon last asked the store itself for what it then knew of the
     /// targets.
-    pub(crate) targets_read: Cell<Option<Millis>>,
-    pub(crate) book: RefCell<TargetRegistry>,
+    pub(crate) last_targets_read: Cell<Option<Millis>>,
+    pub(crate) registry: RefCell<TargetRegistry>,
     /// Data centres whose targets get no requests.
     pub(crate) evacuations: RefCell<EvacuationTable>,
     pub(crate) loads: RefCell<LoadTable>,
     /// The work that callers ask this daemon for.
-    pub(crate) asked: RefCell<DemandMeter>,
+    pub(crate) demand_meter: RefCell<DemandMeter>,
     pub(crate) peers: RefCell<Peers>,
     pub(crate) placing: RefCell<Placing>,
     /// What was sent to peers.
     pub(crate) traffic: Traffic,
     /// Requests that end targets.
-    pub(crate) cases: Cases,
+    pub(crate) quarantine: QuarantineState,
     /// Limits that targets named.
     pub(crate) limits: Limits,
     pub(crate) lanes: Lanes,
@@ -195,43 +195,43 @@
     /// Requests that are being answered.
     pub(crate) active: Cell<usize>,
     /// Whether any request has come since the start.
-    pub(crate) busy: Cell<bool>,
+    pub(crate) had_requests: Cell<bool>,
     /// When the daemon was told to stop.
     pub(crate) stopping: Cell<Option<Millis>>,
     /// Woken when connections without a request are to end.
     pub(crate) stop: Notify,
     /// Whether this daemon holds the lease to form groups.
-    pub(crate) plans: Cell<bool>,
+    pub(crate) is_planner: Cell<bool>,
     /// When the daemon started.
     pub(crate) started: Millis,
     /// Whether this daemon's last question about the catalog brought no answer.
-    pub(crate) away: Cell<Option<Millis>>,
+    pub(crate) store_unreachable_at: Cell<Option<Millis>>,
     /// Whether this daemon reads the store for others.
-    pub(crate) reads: Cell<bool>,
+    pub(crate) is_reader: Cell<bool>,
     /// The changes of targets that this daemon lacks.
-    pub(crate) lacks: Cell<Option<Lack>>,
+    pub(crate) feed_gap: Cell<Option<FeedGap>>,
     /// The changes of targets that this daemon lacks and a peer does not keep.
-    pub(crate) gap: Cell<Option<Lack>>,
+    pub(crate) unserved_gap: Cell<Option<FeedGap>>,
     /// The targets' changes, as far as they are known.
     pub(crate) feed: RefCell<Feed>,
     /// Woken when a peer is heard of which this daemon knew nothing.
-    pub(crate) peer_heard: Notify,
+    pub(crate) peer_discovered: Notify,
     /// Woken when the store's list of daemons has been read.
     pub(crate) listed: Notify,
     /// Woken when the daemon waits for no peer any more to learn what it must.
-    pub(crate) start_over: Notify,
+    pub(crate) start_ended: Notify,
     /// Woken when the daemon begins or ceases to read the store.
-    pub(crate) reads_changed: Notify,
+    pub(crate) reader_changed: Notify,
     /// Woken when the catalog or all targets have been read for the first time.
-    pub(crate) learned: Notify,
+    pub(crate) loaded: Notify,
     /// Woken when a peer has a newer catalog.
-    pub(crate) catalog_news: Notify,
+    pub(crate) newer_catalog: Notify,
     /// Woken when a peer knows changes of targets that nobody keeps.
-    pub(crate) targets_news: Notify,
+    pub(crate) newer_targets: Notify,
     /// Woken when targets changed or are suspected.
-    pub(crate) fleet_news: Notify,
+    pub(crate) fleet_changed: Notify,
     /// Woken when the store failed to answer.
-    pub(crate) store_doubt: Notify,
+    pub(crate) store_failed: Notify,
 }
 
 impl Edge {
@@ -242,7 +242,7 @@
             peers: RefCell::new(Peers::default()),
             placing: RefCell::new(Placing::default()),
             traffic: Traffic::default(),
-            cases: Cases::default(),
+            quarantine: QuarantineState::default(),
             limits: Limits::default(),
             settings: RefCell::new(Rc::new(settings)),
             clock,
@@ -254,39 +254,39 @@
             packed: Packed::default(),
             packed_catalog: Packed::default(),
             packed_members: Packed::default(),
-            targets_at: Cell::new(None),
-            catalog_at: Cell::new(None),
-            fresh: Cell::new(Freshness::default()),
-            targets_fresh: Cell::new(Freshness::default()),
-            targets_read: Cell::new(None),
-            book: RefCell::new(TargetRegistry::default()),
+            targets_source: Cell::new(None),
+            catalog_source: Cell::new(None),
+            catalog_freshness: Cell::new(Freshness::default()),
+            targets_freshness: Cell::new(Freshness::default()),
+            last_targets_read: Cell::new(None),
+            registry: RefCell::new(TargetRegistry::default()),
             evacuations: RefCell::new(EvacuationTable::default()),
             loads: RefCell::new(LoadTable::default()),
-            asked: RefCell::new(DemandMeter::default()),
+            demand_meter: RefCell::new(DemandMeter::default()),
             lanes: Lanes::default(),
             lines: Lines::start(),
             rng: RefCell::new(SmallRng::seed_from_u64(rand::random())),
             retries: RefCell::new(HashMap::new()),
             active: Cell::new(0),
-            busy: Cell::new(false),
+            had_requests: Cell::new(false),
             stopping: Cell::new(None),
             stop: Notify::new(),
-            plans: Cell::new(false),
+            is_planner: Cell::new(false),
             started: clock.now(),
-            away: Cell::new(None),
-            reads: Cell::new(false),
-            lacks: Cell::new(None),
-            gap: Cell::new(None),
+            store_unreachable_at: Cell::new(None),
+            is_reader: Cell::new(false),
+            feed_gap: Cell::new(None),
+            unserved_gap: Cell::new(None),
             feed: RefCell::new(Feed::default()),
-            peer_heard: Notify::new(),
+            peer_discovered: Notify::new(),
             listed: Notify::new(),
-            start_over: Notify::new(),
-            reads_changed: Notify::new(),
-            learned: Notify::new(),
-            catalog_news: Notify::new(),
-            targets_news: Notify::new(),
-            fleet_news: Notify::new(),
-            store_doubt: Notify::new(),
+            start_ended: Notify::new(),
+            reader_changed: Notify::new(),
+            loaded: Notify::new(),
+            newer_catalog: Notify::new(),
+            newer_targets: Notify::new(),
+            fleet_changed: Notify::new(),
+            store_failed: Notify::new(),
         }
     }
 
@@ -303,16 +303,16 @@
     }
 
     /// Whether the catalog and the targets have been read since the start.
-    fn has_learned(&self) -> bool {
+    fn has_loaded(&self) -> bool {
         self.catalog.borrow().is_some() && self.feed.borrow().is_known()
     }
 
     /// Waits until the catalog and the targets have been read, for a short
     /// time at most: callers connect as soon as a daemon listens again.
-    pub(crate) async fn wait_to_learn(&self) {
+    pub(crate) async fn wait_until_loaded(&self) {
         let until = self.now() + FIRST_READS;
-        while !self.has_learned() {
-            let learned = self.learned.notified();
+        while !self.has_loaded() {
+            let learned = self.loaded.notified();
             if self.alarm.in_time(until, learned).await.is_none() {
                 return;
             }
@@ -334,13 +334,15 @@
 
     /// Whether the store did not answer this daemon a short time ago. A daemon that has
     /// ceased to ask does not notice that the store is back.
-    pub(crate) fn is_away(&self) -> bool {
-        self.away.get().is_some_and(|at| self.now() - at < AWAY)
+    pub(crate) fn is_store_unreachable(&self) -> bool {
+        self.store_unreachable_at
+            .get()
+            .is_some_and(|at| self.now() - at < AWAY)
     }
 
     /// What this daemon has to do with the store.
     pub(crate) fn store_use(&self) -> StoreUse {
-        match (self.is_away(), self.reads.get()) {
+        match (self.is_store_unreachable(), self.is_reader.get()) {
             (true, _) => StoreUse::Away,
             (false, true) => StoreUse::Reads,
             (false, false) => StoreUse::Asks,
@@ -348,33 +350,33 @@
     }
 
     /// How long what a peer told is believed.
-    pub(crate) fn trust(&self) -> Millis {
+    pub(crate) fn peer_data_lifetime(&self) -> Millis {
         self.peers.borrow().trust(&self.settings.borrow().hall)
     }
 
     /// Whether requests with keys may pass now.
     pub(crate) fn is_fresh(&self) -> bool {
         let bound = self.settings.borrow().bounds.revoke;
-        self.fresh.get().permits(bound, self.now())
+        self.catalog_freshness.get().permits(bound, self.now())
     }
 
     /// Notes that the catalog in force was the newest at the moment `asked`.
-    pub(crate) fn confirm(&self, asked: Millis) {
-        let mut fresh = self.fresh.get();
+    pub(crate) fn confirm_catalog(&self, asked: Millis) {
+        let mut fresh = self.catalog_freshness.get();
         fresh.confirm(asked);
-        self.fresh.set(fresh);
+        self.catalog_freshness.set(fresh);
     }
 
     /// Notes that all changes of targets before the moment `asked` are known.
     pub(crate) fn confirm_targets(&self, asked: Millis) {
-        let mut fresh = self.targets_fresh.get();
+        let mut fresh = self.targets_freshness.get();
         fresh.confirm(asked);
-        self.targets_fresh.set(fresh);
+        self.targets_freshness.set(fresh);
     }
 
     /// How old the knowledge of the targets is.
     pub(crate) fn targets_age(&self) -> Option<Millis> {
-        self.targets_fresh.get().age(self.now())
+        self.targets_freshness.get().age(self.now())
     }
 
     /// Time in which the daemon ends once it was told to stop.
@@ -395,26 +397,26 @@
         };
         let now = self.now();
         let alone = now - self.started < BLIND && !loads.has_peer_counts();
-        let book = self.book.borrow();
+        let book = self.registry.borrow();
         let serving = book.serving(&service.name, model);
         let serving = serving.iter().map(AsRef::as_ref);
         let serving: Vec<&Target> = serving
-            .filter(|t| !self.limits.is_spent(&t.id, now))
+            .filter(|t| !self.limits.is_exhausted(&t.id, now))
             .collect();
         !alone && loads.has_room(&serving, engine, now)
     }
 
     /// Picks the target for the next attempt of a request.
-    pub(crate) fn pick(&self, asking: &Asking<'_>, knowledge: Knowledge) -> Choice {
+    pub(crate) fn pick(&self, asking: &TargetQuery<'_>, knowledge: Knowledge) -> Choice {
         let service = asking.service;
-        let book = self.book.borrow();
+        let book = self.registry.borrow();
         let now = self.now();
         let mut untried: Vec<&Target> = asking.untried(&book).collect();
         let wait = self.limits.wait(untried.iter().copied(), now);
         if let Some(wait) = wait.filter(|wait| *wait > Millis::ZERO) {
-            return Choice::Spent(wait);
+            return Choice::Exhausted(wait);
         }
-        untried.retain(|t| !self.limits.is_spent(&t.id, now));
+        untried.retain(|t| !self.limits.is_exhausted(&t.id, now));
         let settings = self.settings();
         let wanted = PickRequest {
             engine: service.engine.as_ref(),
@@ -430,18 +432,18 @@
         let rng = &mut *self.rng.borrow_mut();
         match loads.pick(&untried, &wanted, knowledge, now, rng) {
             Some(target) => Choice::Target(Box::new(target.clone())),
-            None => Choice::Nobody,
+            None => Choice::NoTarget,
         }
     }
 
     /// Notes a first attempt at a service.
-    pub(crate) fn earn_retry(&self, service: &ServiceName) {
+    pub(crate) fn deposit_retry(&self, service: &ServiceName) {
         let part = self.settings.borrow().bounds.retry_ratio * RATIO_USED;
         self.with_budget(service, |budget| budget.deposit(part));
     }
 
     /// Takes a retry out of the daemon's part of the service's budget.
-    pub(crate) fn spend_retry(&self, service: &ServiceName) -> bool {
+    pub(crate) fn withdraw_retry(&self, service: &ServiceName) -> bool {
         let spent = self.with_budget(service, RetryBudget::withdraw);
         if !spent {
             metrics::counter!("thistlesill_edge_retries_denied_total").increment(1);
@@ -450,11 +452,12 @@
     }
 
     /// Whether a further attempt may be made now, and there is a target for it.
-    pub(crate) fn may_go_elsewhere(&self, asking: &Asking<'_>) -> bool {
+    pub(crate) fn can_retry_elsewhere(&self, asking: &TargetQuery<'_>) -> bool {
         let has_retry = self.with_budget(&asking.service.name, |budget| budget.has_retry());
-        let (book, loads, now) = (self.book.borrow(), self.loads.borrow(), self.now());
+        let (book, loads, now) = (self.registry.borrow(), self.loads.borrow(), self.now());
         let mut untried = asking.untried(&book);
-        let may = |t: &Target| !loads.is_suspect(&t.id, now) && !self.limits.is_spent(&t.id, now);
+        let may =
+            |t: &Target| !loads.is_suspect(&t.id, now) && !self.limits.is_exhausted(&t.id, now);
         has_retry && untried.any(may)
     }
 
@@ -472,14 +475,14 @@
     /// Notes that a target stopped or failed, and tells the planner.
     pub(crate) fn suspect(&self, target: &TargetId, why: &str) {
         let news = self.loads.borrow_mut().suspect(target, self.now());
-        self.lanes.forget(target);
+        self.lanes.close_idle(target);
         if news {
             self.lines
                 .line("target_suspected")
                 .with("target", target)
                 .with("why", why)
                 .write();
-            self.fleet_news.notify_one();
+            self.fleet_changed.notify_one();
             link::tell_suspects(self);
         }
     }
--- a/crates/thistlesill-edge/src/track.rs
+++ b/crates/thistlesill-edge/src/track.rs
@@ -52,12 +52,12 @@
     first: Option<Millis>,
     /// Its objective, and the longest pause in time.
     aim: Option<Millis>,
-    most_pause: Option<Millis>,
+    max_pause: Option<Millis>,
     /// How the last target stood when the request was sent there.
     sent: Option<Sent>,
     /// What decided the end, where its kind does not say it.
     why: Option<&'static str>,
-    back: Option<Millis>,
+    retry_after: Option<Millis>,
     /// Who chose the last target before the answer began.
     placed: Option<PlacedBy>,
     /// The longest pause of a stream.
@@ -80,10 +80,10 @@
             version: None,
             first: None,
             aim: None,
-            most_pause: None,
+            max_pause: None,
             sent: None,
             why: None,
-            back: None,
+            retry_after: None,
             placed: None,
             pause: None,
             resumes: 0,
@@ -99,7 +99,7 @@
         rest.version = self.version;
         rest.placed = self.placed;
         rest.aim = self.aim;
-        rest.most_pause = self.most_pause;
+        rest.max_pause = self.max_pause;
         rest.sent = self.sent;
         self.ended = true;
         rest
@@ -110,7 +110,7 @@
         self.route = Some(Rc::from(&*passage.route.name));
         self.version = Some(passage.version);
         self.aim = Some(passage.route.aim);
-        self.most_pause = passage.route.pause;
+        self.max_pause = passage.route.pause;
     }
 
     /// Notes how a target stands to which the request is sent now.
@@ -129,7 +129,7 @@
         let pause = self.pause.map_or(Millis::ZERO, |p| p.length);
         if first > aim {
             Some(Late::First)
-        } else if self.most_pause.is_some_and(|most| pause > most) {
+        } else if self.max_pause.is_some_and(|most| pause > most) {
             Some(Late::Pause)
         } else {
             None
@@ -209,14 +209,14 @@
     }
 
     /// Notes what decides the end, where its kind does not say it.
-    pub(crate) fn because(&mut self, why: &'static str) -> &mut Self {
+    pub(crate) fn with_reason(&mut self, why: &'static str) -> &mut Self {
         self.why = Some(why);
         self
     }
 
     /// Ends the request with an error of the system's own.
     pub(crate) fn refuse(&mut self, kind: ErrorKind, back: Option<Millis>) -> Response<OutBody> {
-        self.back = back;
+        self.retry_after = back;
         self.end(kind.answer().status, None, 0, kind.name());
         reply::error(kind, back)
     }
@@ -240,7 +240,7 @@
         metrics::counter!("thistlesill_edge_requests_total", "outcome" => what.to_owned())
             .increment(1);
         metrics::histogram!("thistlesill_edge_request_ms").record(took.get() as f64);
-        let age = self.edge.fresh.get().age(now);
+        let age = self.edge.catalog_freshness.get().age(now);
         let late = self.late(took);
         // How the target stood explains why an answer came late; others do without.
         let sent = self.sent.filter(|_| late.is_some());
@@ -267,7 +267,7 @@
             .maybe("sent_requests", sent.map(|s| s.work.requests))
             .maybe("why", self.why)
             .maybe("print", self.print)
-            .maybe("back_ms", self.back.map(Millis::get))
+            .maybe("back_ms", self.retry_after.map(Millis::get))
             .with("took_ms", took.get())
             .with("bytes", bytes)
             .write();
--- a/crates/thistlesill-edge/src/watch/catalog.rs
+++ b/crates/thistlesill-edge/src/watch/catalog.rs
@@ -45,12 +45,12 @@
     }
     loop {
         let known = edge.catalog.borrow().is_some();
-        if known && !edge.reads.get() {
+        if known && !edge.is_reader.get() {
             version = None;
             tokio::select! {
-                () = edge.catalog_news.notified() => if fetch_catalog(&edge).await { continue },
+                () = edge.newer_catalog.notified() => if fetch_catalog(&edge).await { continue },
                 // It may only have begun to read the targets.
-                () = edge.reads_changed.notified() => continue,
+                () = edge.reader_changed.notified() => continue,
                 () = tokio::time::sleep(IDLE) => continue,
             }
         }
@@ -67,7 +67,7 @@
                 let newest = version.is_none() || rows.rows.is_empty();
                 evacuation::take_rows(&edge, &rows, version.is_none());
                 if take_catalog(&edge, &rows) && newest {
-                    edge.confirm(asked);
+                    edge.confirm_catalog(asked);
                 }
                 version = Some(rows.version);
             }
@@ -78,7 +78,7 @@
                 match after_failure(&error) {
                     AfterFailure::AskAgain => {
                         limit = CONFIRM;
-                        edge.store_doubt.notify_waiters();
+                        edge.store_failed.notify_waiters();
                     }
                     AfterFailure::ReadWhole => {}
                     AfterFailure::Wait => {
@@ -101,13 +101,13 @@
     loop {
         let leads = {
             let peers = edge.peers.borrow();
-            edge.plans.get() || peers.is_first_listed(&edge.settings().name)
+            edge.is_planner.get() || peers.is_first_listed(&edge.settings().name)
         };
         if leads || edge.catalog.borrow().is_some() || edge.now() >= until {
             return;
         }
         tokio::select! {
-            () = edge.catalog_news.notified() => {
+            () = edge.newer_catalog.notified() => {
                 if !fetch_catalog(edge).await {
                     return;
                 }
@@ -121,7 +121,7 @@
 /// worked. On a calm day of 63 daemons with one new catalog, 142 reads of it are left of
 /// 197.
 async fn fetch_catalog(edge: &Edge) -> bool {
-    let Some(address) = edge.catalog_at.take() else {
+    let Some(address) = edge.catalog_source.take() else {
         return false;
     };
     let limit = edge.settings().bounds.apply.duration().mul_f64(FETCH_PART);
@@ -146,8 +146,8 @@
     tokio::select! {
         () = tokio::time::sleep(pause) => {}
         () = edge.listed.notified() => {}
-        () = edge.learned.notified() => {}
-        () = edge.catalog_news.notified() => {
+        () = edge.loaded.notified() => {}
+        () = edge.newer_catalog.notified() => {
             if !fetch_catalog(edge).await {
                 tokio::time::sleep(PAUSE.min(pause)).await;
             }
@@ -183,12 +183,15 @@
 fn note_store(edge: &Edge, error: Option<&StoreError>) {
     let now = edge.now();
     if error.is_none() {
-        edge.book.borrow_mut().store_answered(now);
+        edge.registry.borrow_mut().store_answered(now);
     } else {
-        edge.book.borrow_mut().store_failed();
-        edge.store_doubt.notify_waiters();
+        edge.registry.borrow_mut().store_failed();
+        edge.store_failed.notify_waiters();
     }
-    let was_away = edge.away.replace(error.map(|_| now)).is_some();
+    let was_away = edge
+        .store_unreachable_at
+        .replace(error.map(|_| now))
+        .is_some();
     if was_away == error.is_some() {
         return;
     }
@@ -200,7 +203,7 @@
         None => edge.lines.line("store_regained"),
         Some(error) => edge.lines.line("store_lost").with("why", error),
     };
-    let age = edge.fresh.get().age(now).map(Millis::get);
+    let age = edge.catalog_freshness.get().age(now).map(Millis::get);
     line.maybe("proof_age_ms", age).write();
 }
 
@@ -252,10 +255,10 @@
     edge.catalog_text.replace(Bytes::copy_from_slice(text));
     let catalog = Rc::new(catalog);
     edge.catalog.replace(Some(catalog.clone()));
-    edge.book.borrow_mut().index(Some(&catalog));
+    edge.registry.borrow_mut().index(Some(&catalog));
     if old.is_none() {
-        limits::note_warmups(edge);
+        limits::limit_warming_targets(edge);
     }
-    edge.learned.notify_waiters();
-    edge.fleet_news.notify_one();
+    edge.loaded.notify_waiters();
+    edge.fleet_changed.notify_one();
 }
--- a/crates/thistlesill-edge/src/watch/targets.rs
+++ b/crates/thistlesill-edge/src/watch/targets.rs
@@ -39,8 +39,8 @@
         }
         if !whole && !follow::reads_targets(&edge) {
             tokio::select! {
-                () = edge.targets_news.notified() => whole = true,
-                () = edge.reads_changed.notified() => {}
+                () = edge.newer_targets.notified() => whole = true,
+                () = edge.reader_changed.notified() => {}
                 () = tokio::time::sleep(IDLE) => {}
             }
             continue;
@@ -48,12 +48,12 @@
         let asked = edge.now();
         let answer = tokio::select! {
             answer = ask_targets(&edge, whole) => answer,
-            () = edge.store_doubt.notified() => continue,
+            () = edge.store_failed.notified() => continue,
         };
         match answer {
             Ok(rows) => {
                 if take_targets(&edge, &rows, whole) {
-                    edge.targets_read.set(Some(asked));
+                    edge.last_targets_read.set(Some(asked));
                     edge.confirm_targets(asked);
                 }
                 // Where it was not taken, peers told of later changes meanwhile, and all before
@@ -61,7 +61,7 @@
                 // changing were read 85 times by a daemon.
                 whole = false;
                 pause = PAUSE;
-                let batch = if edge.plans.get() {
+                let batch = if edge.is_planner.get() {
                     PLANNER_BATCH
                 } else {
                     BATCH
@@ -76,7 +76,7 @@
                     AfterFailure::Wait => {
                         tokio::select! {
                             () = tokio::time::sleep(pause) => {}
-                            () = edge.targets_news.notified() => {}
+                            () = edge.newer_targets.notified() => {}
                             () = edge.listed.notified() => {}
                         }
                         pause = next_pause(&edge);
@@ -140,7 +140,7 @@
         feed.is_known()
     };
     if is_known {
-        let changes = edge.book.borrow().difference(listings);
+        let changes = edge.registry.borrow().difference(listings);
         let changes: Vec<Change> = changes
             .into_iter()
             .map(|what| Change {
@@ -156,12 +156,12 @@
     }
     edge.feed.borrow_mut().restart(version);
     let (catalog, now) = (edge.catalog(), edge.now());
-    edge.book
+    edge.registry
         .borrow_mut()
         .replace(listings, catalog.as_deref(), now);
-    limits::note_warmups(edge);
-    edge.learned.notify_waiters();
-    edge.fleet_news.notify_one();
+    limits::limit_warming_targets(edge);
+    edge.loaded.notify_waiters();
+    edge.fleet_changed.notify_one();
     true
 }
 
@@ -179,14 +179,14 @@
     }
     for listing in &listings {
         if let Listing::Listed(target) = listing {
-            limits::note_warmup(edge, target);
+            limits::limit_warming_target(edge, target);
         }
     }
     let (catalog, now) = (edge.catalog(), edge.now());
-    edge.book
+    edge.registry
         .borrow_mut()
         .apply(listings, catalog.as_deref(), now);
-    edge.fleet_news.notify_one();
+    edge.fleet_changed.notify_one();
 }
 
 /// Takes in a row of a target. One that is no sound entry, whoever wrote it, names no
@@ -219,7 +219,7 @@
 
 /// Writes a line about a target that is used no longer, since its entry cannot be.
 fn note_unusable(edge: &Edge, instance: &InstanceId) {
-    if edge.book.borrow().incarnation(instance).is_some() {
+    if edge.registry.borrow().incarnation(instance).is_some() {
         edge.lines
             .line("target_unusable")
             .with("target", instance)
@@ -229,7 +229,7 @@
 
 /// Writes a line about a target's change if it changes who takes requests.
 fn note_target(edge: &Edge, target: &Target) {
-    let book = edge.book.borrow();
+    let book = edge.registry.borrow();
     if let Some(life) = book.incarnation(target.id.instance())
         && life.is_other_incarnation_of(&target.id)
     {
