--- a/crates/thistlesill-edge/src/flight.rs
+++ b/crates/thistlesill-edge/src/flight.rs
@@ -8,7 +8,7 @@
 use crate::peers::place;
 use crate::state::Edge;
 
-/// Counts a request at a target until it is dropped.
+/// Counts a request as in progress at a target, until this value is dropped.
 pub(crate) struct InFlight {
     edge: Rc<Edge>,
     target: TargetId,
--- a/crates/thistlesill-edge/src/limits.rs
+++ b/crates/thistlesill-edge/src/limits.rs
@@ -1,8 +1,8 @@
 //! Rate limits, in requests per second, that targets name in their answers.
 //!
-//! A daemon that receives a limit sends it to all daemons at once. The owner of the target's bucket,
-//! which is the owner of its scope, grants the requests one by one and repeats the limit to all
-//! daemons every two seconds, for those that missed it or have started since.
+//! A daemon that receives a limit sends it to all daemons at once. The owner of the target's
+//! bucket, which is the owner of its scope, grants the requests one by one and repeats the limit
+//! to all daemons every two seconds, for those that missed it or have started since.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
--- a/crates/thistlesill-edge/src/planner.rs
+++ b/crates/thistlesill-edge/src/planner.rs
@@ -46,15 +46,15 @@
 /// After this time without a holder, every daemon tries to get the lease. The first daemons of the
 /// data centres have had time for two takeovers by then.
 const ORPHANED_TIMEOUT: Millis = Millis::new(5_000);
-/// Number of daemons in each data centre that watch the fleets, so that they can take over from the
-/// planner with what they observed.
+/// Number of daemons in each data centre that watch the fleets, so that they can take over from
+/// the planner with what they observed.
 const SUCCESSORS: usize = 3;
 /// Interval between two log lines with the census of a fleet.
 const CENSUS_INTERVAL: Millis = Millis::new(1_000);
 
-/// Ratio of a target's step time to the usual one from which on the target is replaced in its group,
-/// since a group is as slow as its slowest member. The replacement takes the group out of service
-/// for about two seconds.
+/// Ratio of a target's step time to the usual one from which on the target is replaced in its
+/// group, since a group is as slow as its slowest member. The replacement takes the group out of
+/// service for about two seconds.
 const SLOW_PACE_RATIO: f64 = 2.5;
 
 /// The part of a daemon that forms groups.
@@ -220,8 +220,8 @@
         self.announce_dead(dead);
     }
 
-    /// Returns whether this daemon is one of those that could take over from the planner. Only these
-    /// go over all targets at each pass.
+    /// Returns whether this daemon is one of those that could take over from the planner. Only
+    /// these go over all targets at each pass.
     fn may_succeed(&self, now: Millis) -> bool {
         let (settings, peers) = (self.edge.settings(), self.edge.peers.borrow());
         let unreachable = self.edge.is_store_unreachable();
@@ -393,8 +393,8 @@
         stalled
     }
 
-    /// Returns the leaders at which some daemon has requests without suspecting them, or streams that
-    /// make progress.
+    /// Returns the leaders at which some daemon has requests without suspecting them, or streams
+    /// that make progress.
     fn working(&self, now: Millis) -> HashSet<TargetId> {
         let loads = self.edge.loads.borrow();
         let own = loads.counts().into_iter().map(|(id, _)| id);
--- a/crates/thistlesill-edge/src/proxy.rs
+++ b/crates/thistlesill-edge/src/proxy.rs
@@ -32,8 +32,8 @@
 /// of the caller's time is over.
 const MIN_RETRY_AFTER: Millis = Millis::new(300);
 const MAX_RETRY_AFTER: Millis = Millis::new(2_000);
-/// Maximum time for which a stream that its caller resumes is deferred in favour of others. Callers
-/// leave a stream that sends nothing for two seconds.
+/// Maximum time for which a stream that its caller resumes is deferred in favour of others: well
+/// below the two seconds after which callers leave a stream that sends nothing.
 const MAX_RESUME_DEFERRAL: Millis = Millis::new(1_000);
 /// Interval between two checks for free capacity.
 const CAPACITY_CHECK_INTERVAL: Duration = Duration::from_millis(40);
--- a/crates/thistlesill-edge/src/relay.rs
+++ b/crates/thistlesill-edge/src/relay.rs
@@ -262,8 +262,8 @@
         }
     }
 
-    /// Resumes the stream at another target, if that is allowed and one can. Otherwise waits on for
-    /// a stalled source, or fails if there is none.
+    /// Resumes the stream at another target, if that is allowed and one can. Otherwise keeps
+    /// waiting for a stalled source, and fails if the source is lost.
     async fn resume(&mut self, stop: Stop) -> Result<(), Interrupted> {
         let reason = match stop {
             Stop::Stalled => "no event for too long",
--- a/crates/thistlesill-edge/src/state.rs
+++ b/crates/thistlesill-edge/src/state.rs
@@ -215,7 +215,7 @@
     pub(crate) unserved_gap: Cell<Option<FeedGap>>,
     /// Changes of targets in the order of their versions.
     pub(crate) feed: RefCell<Feed>,
-    /// Notified at the first message of a peer that this daemon did not know, or that has restarted.
+    /// Notified at the first message of a peer that was not known or has restarted.
     pub(crate) peer_discovered: Notify,
     /// Notified when the store's list of daemons has been read.
     pub(crate) listed: Notify,
--- a/crates/thistlesill-edge/src/track.rs
+++ b/crates/thistlesill-edge/src/track.rs
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Moves the tracking of the request to a new value, which outlives this one.
+    /// Moves the tracking of the request to a new value, for an answer that is still being sent.
     pub(crate) fn split(&mut self, edge: &Rc<Edge>) -> Self {
         let mut rest = Self::new(edge, &self.id, self.arrived);
         rest.route.clone_from(&self.route);
--- a/crates/thistlesill-edge/tests/it.rs
+++ b/crates/thistlesill-edge/tests/it.rs
@@ -1,4 +1,4 @@
-//! Edge daemons as processes before stand-ins of the platform.
+//! Runs edge daemons as processes against stand-ins of the platform.
 
 #[path = "it/answers.rs"]
 mod answers;
--- a/crates/thistlesill-edge/tests/it/answers.rs
+++ b/crates/thistlesill-edge/tests/it/answers.rs
@@ -1,5 +1,4 @@
-//! Answers are the target's own and whole, and an error tells the truth about
-//! whether the request ran.
+//! Answers arrive complete and unchanged, and an error is true about whether the request ran.
 
 use std::time::Duration;
 
@@ -93,14 +92,14 @@
             let id = format!("{fault:?}-{i}");
             let got = ask(&world, 0, read(&id)).await;
             assert_eq!((got.status, got.body), (200, format!("GET {id}")));
-            // The retry budget is small on purpose; let it fill again.
+            // The retry budget of the test is small; waits until it is full again.
             sleep(20).await;
         }
     }
 }
 
-/// The nearest target, by what was learnt of its times, takes no more requests: each one
-/// that is sent there first costs a retry, and the budget of them is small.
+/// The target with the shortest measured times refuses requests. Each request that is sent there
+/// first costs a retry, and the retry budget is small.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_target_that_refuses_is_not_asked_first_by_every_request() {
     let world = world(82, 1).await;
--- a/crates/thistlesill-edge/tests/it/calls.rs
+++ b/crates/thistlesill-edge/tests/it/calls.rs
@@ -1,8 +1,8 @@
-//! How often daemons call the store; each call has its price.
+//! How often daemons call the store, since every call has a cost.
 //!
-//! Symptom: on a day of 63 daemons and 191 targets, 1 390 calls cost a tenth of what
-//! callers were served: 11 a daemon at its start, one a daemon for each new catalog,
-//! and 1.2 a second for each reader of the catalog.
+//! With 63 daemons and 191 targets, 1 390 calls cost a tenth of the value of the served requests:
+//! 11 calls per daemon at its start, one per daemon for each new catalog, and 1.2 a second for each
+//! daemon that read the catalog.
 
 use thistlesill_platform_standin::store::{
     CATALOG_QUESTION, CATALOG_READ, DAEMONS_READ, LEASE_READ,
@@ -18,7 +18,7 @@
     sleep(2_500).await;
     let lists = world.store.asked(DAEMONS_READ);
     assert!(lists <= DAEMONS, "{lists} reads of the list");
-    // The first daemon of each data centre looks again if the first of all is slow.
+    // The first daemon of each data centre reads the lease again if the first of all is slow.
     let leases = world.store.asked(LEASE_READ);
     assert!(leases <= 3, "{leases} reads of the lease");
 }
@@ -40,19 +40,19 @@
     assert!(reads <= 3, "{reads} reads of the catalog");
 }
 
-/// Of 984 daemons each read the whole catalog whenever it looked at the targets itself: six
+/// Each of 984 daemons read the complete catalog whenever it read the targets from the store: six
 /// times before the first request, 0.6 GB in all.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_daemon_that_looks_at_the_targets_itself_reads_no_catalog() {
     let mut world = world(128, DAEMONS as u8).await;
     sleep(2_000).await;
-    // Beats of the planner come every 0.4 s, so what this daemon knows is often too old.
+    // Heartbeats of the planner come every 0.4 s, so the knowledge of this daemon is often too old.
     world.daemons[5].kill().await;
     world.daemons[5].set_bound("drainMs", 300);
     world.daemons[5].start();
     sleep(5_500).await;
     let lines = world.lines(5, "ev=status");
-    let last = lines.last().expect("it tells how it is");
+    let last = lines.last().expect("the daemon logs its status");
     let calls = |name: &str| {
         let count = last.split(&format!(" {name}=")).nth(1);
         let count = count.and_then(|rest| rest.split(' ').next()?.parse::<u32>().ok());
@@ -69,7 +69,6 @@
     let before = world.store.asked(CATALOG_QUESTION);
     sleep(4_000).await;
     let questions = world.store.asked(CATALOG_QUESTION) - before;
-    // The settings have a catalog be in force within 2 s; a question waits for a
-    // sixth of that.
+    // By the settings a catalog is in force within 2 s; a request for it waits for a sixth of that.
     assert!(questions <= 14, "{questions} questions in 4 s");
 }
--- a/crates/thistlesill-edge/tests/it/fatal.rs
+++ b/crates/thistlesill-edge/tests/it/fatal.rs
@@ -1,11 +1,9 @@
-//! A request can end each target that runs it.
+//! Requests that crash each target that runs them.
 //!
-//! Callers sent such a request again and again. Each time it got a new id, a daemon sent
-//! it to a target, the target ended with all that ran there, and the daemon sent it to the
-//! next one: every try of the caller began its count of attempts anew, and no daemon knew
-//! what another had seen. Six targets ended within 1.6 s, eighteen in twelve seconds, and
-//! of forty-five requests a second for that model none was served. The lines that settled
-//! it are those of the targets' last requests, which share one fingerprint:
+//! Callers repeated such a request with a new id each time, so every repetition had all its
+//! attempts, and no daemon knew what the others had observed. Six targets crashed within 1.6 s,
+//! eighteen in twelve seconds, and none of 45 requests a second for the model was served. The
+//! requests that were lost with their targets share one fingerprint in the log:
 //!
 //! ```text
 //! ev=lost_with_target target=A why="the stream broke off" print=P requests=19
@@ -24,21 +22,21 @@
 
 use crate::support::{ask, read, sleep, stream, world};
 
-/// Targets that may end under a request before it is known for what it is.
+/// Targets that a request may crash before it is withheld.
 const KNOWN_AFTER: usize = 3;
-/// The operators' bound: so many more may get it later, once a daemon that is in touch
-/// with the others has had this time.
+/// The operators' bound: this many more targets may get the request later, once a daemon that is
+/// connected to the others has had this time.
 const MOST_LATER: usize = 3;
 const IN_TOUCH: Duration = Duration::from_secs(3);
-/// Between two tries of its caller.
+/// Pause between two repetitions by the caller, in milliseconds.
 const GAP: u64 = 150;
 
-/// A request that ends its targets.
+/// Builds a request that crashes its targets.
 fn fatal(id: impl Into<String>) -> Ask {
     Ask::new(id, "POST", "/read/x").body(FATAL)
 }
 
-/// The runs that count against the operators' bound.
+/// Counts the runs that the operators' bound limits.
 fn later(runs: &[Run]) -> usize {
     let mut begun: Vec<Instant> = runs.iter().map(|run| run.at).collect();
     begun.sort_unstable();
@@ -48,7 +46,7 @@
     begun.iter().filter(|at| **at > *known + IN_TOUCH).count()
 }
 
-/// Sends the request through the daemons in turn, a number of times.
+/// Sends the request `times` times, through the daemons in turn.
 async fn repeat(world: &World, name: &str, times: usize) -> Vec<Got> {
     let mut all = Vec::new();
     for i in 0..times {
@@ -156,7 +154,7 @@
         .collect();
     for i in 0..20 {
         let ask = stream(&format!("fatal-{i}")).model("small").body(FATAL);
-        // It ends in whichever way; its targets' other streams count.
+        // The outcome does not matter here; the test is about other streams at the same targets.
         drop(call(addresses[i % 2], &ask).await);
         sleep(GAP).await;
     }
@@ -169,8 +167,8 @@
     assert!(world.targets.breaches().is_empty());
 }
 
-/// Asks for a stream again and again, as a caller does whose stream broke off; returns
-/// how many tries it took.
+/// Requests a stream until it is served, as a caller does after a stream broke off; returns the
+/// number of tries.
 async fn served_in_the_end(address: SocketAddr, number: usize) -> Option<usize> {
     for tries in 1..=40 {
         let ask = stream(&format!("beside-{number}-{tries}")).model("small");
--- a/crates/thistlesill-edge/tests/it/keys.rs
+++ b/crates/thistlesill-edge/tests/it/keys.rs
@@ -1,4 +1,4 @@
-//! A key that was taken away opens nothing, whatever a daemon can reach.
+//! A removed API key is refused, whatever a daemon can reach.
 
 use std::time::{Duration, Instant};
 
@@ -48,7 +48,7 @@
     }
 }
 
-/// How long the planner's lease outlasts it, and more: nobody forms groups any more.
+/// Longer than the planner's lease lasts, so that no daemon forms groups any more.
 const OUTAGE_MS: u64 = 6_500;
 
 #[tokio::test(flavor = "multi_thread")]
@@ -57,12 +57,12 @@
     sleep(1_500).await;
     let planner = planner(&world);
     world.store.set_mode(Mode::Busy);
-    // Else all ask the one daemon that they know to read the store.
+    // Otherwise all daemons ask the one that they know to read the store.
     world.daemons[planner].signal(nix::sys::signal::Signal::SIGSTOP);
     sleep(OUTAGE_MS - 1_500).await;
-    let looks = world.store.asked(LEASE_READ);
+    let lease_reads = world.store.asked(LEASE_READ);
     sleep(1_500).await;
-    let looks = world.store.asked(LEASE_READ) - looks;
+    let lease_reads = world.store.asked(LEASE_READ) - lease_reads;
     world.store.set_mode(Mode::Up);
     let back = Instant::now();
     for daemon in (0..world.daemons.len()).filter(|d| *d != planner) {
@@ -76,8 +76,11 @@
     }
     let took = back.elapsed();
     assert!(took < Duration::from_millis(800), "{took:?}");
-    // The first daemons of both data centres look for the lease, and no others.
-    assert!(looks <= 8, "{looks} reads of the lease in 1.5 s");
+    // Only the first daemons of both data centres read the lease.
+    assert!(
+        lease_reads <= 8,
+        "{lease_reads} reads of the lease in 1.5 s"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -86,14 +89,14 @@
     world.daemons[0].signal(nix::sys::signal::Signal::SIGSTOP);
     world.set_catalog(9, &["k1"]);
     sleep(3_500).await;
-    let late = tokio::spawn({
+    let pending = tokio::spawn({
         let address = world.daemons[0].callers();
         let ask = book("frozen").key(Some("k2"));
         async move { thistlesill_platform_standin::caller::call(address, &ask).await }
     });
     sleep(200).await;
     world.daemons[0].signal(nix::sys::signal::Signal::SIGCONT);
-    let got = late.await.expect("the task ends").expect("an answer");
+    let got = pending.await.expect("the task ends").expect("an answer");
     assert!(matches!(got.status, 401 | 503), "{}", got.status);
     assert!(world.targets.ledger.runs("frozen").is_empty());
     assert!(world.daemons[0].runs());
--- a/crates/thistlesill-edge/tests/it/limits.rs
+++ b/crates/thistlesill-edge/tests/it/limits.rs
@@ -1,9 +1,8 @@
-//! Targets name how many requests a second they take from all daemons together.
+//! Rate limits that targets name for the requests of all daemons together.
 //!
-//! Two targets each named a limit and went on getting three times as much: 19 requests in
-//! 4 s where 1.5 and 1.6 a second were named. No daemon read the limit, and none knew what
-//! the others sent there. The lines that settled it: each daemon was told with its first
-//! answer, and sent as before; owners and those that they place for alike.
+//! Two targets got three times their limits: 19 requests in 4 s with limits of 1.5 and 1.6 a
+//! second. Each daemon received the limit with its first answer, but did not apply it and did not
+//! know what the others sent. The log shows this for owners and for the daemons that ask them:
 //!
 //! ```text
 //! ev=limit_heard target=p-0 id=234780126-7 limit=1.5
@@ -22,23 +21,28 @@
 use crate::evacuation::WARMUP_BOUND;
 use crate::support::{read, sleep, stream, world};
 
-/// The time over which what a target got is held against its limit.
+/// Window over which the requests at a target are compared with its limit.
 const WINDOW: Duration = Duration::from_secs(4);
-/// Time in which all daemons have heard of a limit.
-const HEARD: Duration = Duration::from_millis(500);
-/// A refusal that was not held.
-const AT_ONCE: Duration = Duration::from_millis(100);
+/// Time in which all daemons receive a limit.
+const PROPAGATION_TIME: Duration = Duration::from_millis(500);
+/// Maximum time of an immediate refusal.
+const IMMEDIATE: Duration = Duration::from_millis(100);
 
-/// An answer, and how long it took.
+/// An answer and its latency.
 type Timed = (Got, Duration);
 
 /// Sends requests at a steady rate through all daemons in turn; returns the answers.
-async fn press(world: &World, per_second: u32, time: Duration, ask: fn(&str) -> Ask) -> Vec<Timed> {
+async fn send_steadily(
+    world: &World,
+    per_second: u32,
+    time: Duration,
+    ask: fn(&str) -> Ask,
+) -> Vec<Timed> {
     let addresses: Vec<SocketAddr> = world.daemons.iter().map(Daemon::callers).collect();
-    press_at(&addresses, per_second, time, ask).await
+    send_steadily_to(&addresses, per_second, time, ask).await
 }
 
-async fn press_at(
+async fn send_steadily_to(
     addresses: &[SocketAddr],
     per_second: u32,
     time: Duration,
@@ -59,7 +63,7 @@
     }
     let mut all = Vec::new();
     for call in calls {
-        // A daemon that a test kills answers nothing.
+        // A daemon that a test has killed gives no answer.
         if let Ok(got) = call.await.expect("the task ends") {
             all.push(got);
         }
@@ -67,18 +71,18 @@
     all
 }
 
-/// The most runs that began at a target within one window since a moment.
+/// Returns the maximum number of runs that began at a target within one window after `since`.
 fn most_in_window(world: &World, target: &str, since: Instant) -> usize {
     world.targets.ledger.most_at(target, since, WINDOW)
 }
 
-/// The most runs that a limit allows within one window; a part of one counts as one.
+/// Returns the maximum number of runs that a limit allows within one window, rounded up.
 fn allowed(limit: f64) -> usize {
     (limit * WINDOW.as_secs_f64()).ceil() as usize
 }
 
-/// When requests began at a target since a moment, and which daemons sent them.
-fn account(world: &World, target: &str, since: Instant) -> String {
+/// Describes when requests began at a target after `since`, and which daemons sent them.
+fn describe_runs(world: &World, target: &str, since: Instant) -> String {
     let starts = world.targets.ledger.starts_at(target);
     let after = starts
         .iter()
@@ -92,7 +96,7 @@
     format!("begun at {}\n{}", begun.join(", "), lines.join("\n"))
 }
 
-/// The instance that leads the group of the large model.
+/// Returns the instance that leads the group of the large model.
 fn large_leader(world: &World) -> String {
     let groups = world.targets.serving();
     let group = groups.iter().find(|(_, members)| members.len() == 4);
@@ -106,17 +110,17 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn all_daemons_together_keep_to_a_limit() {
     let world = world(91, 6).await;
-    press(&world, 30, Duration::from_secs(2), read).await;
+    send_steadily(&world, 30, Duration::from_secs(2), read).await;
     world.targets.name_limit("p-0", Some("1.5"));
     let named = Instant::now();
-    let all = press(&world, 30, Duration::from_secs(9), read).await;
-    let most = most_in_window(&world, "p-0", named + HEARD);
+    let all = send_steadily(&world, 30, Duration::from_secs(9), read).await;
+    let most = most_in_window(&world, "p-0", named + PROPAGATION_TIME);
     assert!(
         most <= allowed(1.5),
         "{most} requests in 4 s, 6 are allowed"
     );
     assert!(most >= 4, "only {most} requests in 4 s, 6 are allowed");
-    // The other target has room for all the rest.
+    // The other target has capacity for all other requests.
     assert!(all.iter().all(|(got, _)| got.status == 200));
 }
 
@@ -127,30 +131,30 @@
     let leader = large_leader(&world);
     world.targets.name_limit(&leader, Some("2"));
     let named = Instant::now();
-    let all = press(&world, 12, Duration::from_secs(9), stream).await;
-    let most = most_in_window(&world, &leader, named + HEARD);
+    let all = send_steadily(&world, 12, Duration::from_secs(9), stream).await;
+    let most = most_in_window(&world, &leader, named + PROPAGATION_TIME);
     assert!(most <= allowed(2.0), "{most} streams in 4 s, 8 are allowed");
     let refused: Vec<&Timed> = all.iter().filter(|(got, _)| got.status != 200).collect();
     for (got, took) in &refused {
         assert_eq!(got.status, 503, "{got:?}");
-        assert!(*took < AT_ONCE, "refused after {took:?}");
+        assert!(*took < IMMEDIATE, "refused after {took:?}");
         assert!(got.retry_after().is_some_and(|s| s > 0.0), "{got:?}");
     }
     let served = all.len() - refused.len();
     assert!(served >= 12, "only {served} of {} are served", all.len());
 }
 
-/// Who grants a target's requests is one of the daemons of its data centre, which all go
-/// away here in turn: killed, frozen and stopped.
+/// A daemon of the target's data centre owns the bucket. Here all of these daemons are killed,
+/// suspended and stopped in turn.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_limit_holds_while_daemons_are_killed_frozen_and_stopped() {
     let mut world = world(93, 6).await;
-    press(&world, 30, Duration::from_secs(2), read).await;
+    send_steadily(&world, 30, Duration::from_secs(2), read).await;
     world.targets.name_limit("p-0", Some("1.5"));
     let named = Instant::now();
     let addresses: Vec<SocketAddr> = world.daemons.iter().map(Daemon::callers).collect();
     let calls = tokio::spawn(async move {
-        press_at(&addresses, 30, Duration::from_secs(18), read).await;
+        send_steadily_to(&addresses, 30, Duration::from_secs(18), read).await;
     });
     sleep(2_000).await;
     for daemon in [0, 2, 4] {
@@ -168,40 +172,43 @@
     world.daemons[2].ended().await;
     world.daemons[2].start();
     calls.await.expect("the task ends");
-    let most = most_in_window(&world, "p-0", named + HEARD);
+    let most = most_in_window(&world, "p-0", named + PROPAGATION_TIME);
     assert!(
         most <= allowed(1.5),
         "{most} requests in 4 s, 6 are allowed\n{}",
-        account(&world, "p-0", named)
+        describe_runs(&world, "p-0", named)
     );
     let all = world.targets.ledger.starts_at("p-0");
-    let since = all.iter().filter(|at| **at > named + HEARD).count();
+    let since = all
+        .iter()
+        .filter(|at| **at > named + PROPAGATION_TIME)
+        .count();
     assert!(since >= 5, "only {since} requests in 17 s, 25 are allowed");
 }
 
-/// The runs at a target within a time from now on, while callers ask for it.
+/// Returns the number of runs at a target during `time`, under a steady load of requests.
 async fn runs_within(world: &World, target: &str, time: Duration) -> usize {
     let before = world.targets.ledger.starts_at(target).len();
-    press(world, 20, time, read).await;
+    send_steadily(world, 20, time, read).await;
     world.targets.ledger.starts_at(target).len() - before
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn limits_rise_fall_and_are_lifted() {
     let world = world(94, 4).await;
-    // All requests need the other target.
+    // Leaves only p-0 for all requests.
     world.targets.leave("p-1");
     sleep(1_500).await;
     let time = Duration::from_secs(4);
     for (limit, least, most) in [("2", 5, 8), ("6", 14, 24), ("1", 2, 4)] {
         world.targets.name_limit("p-0", Some(limit));
-        // The next answer tells of it; one is granted in two seconds at least.
-        press(&world, 20, Duration::from_millis(2_500), read).await;
+        // The next answer names the limit; at least one request is granted in two seconds.
+        send_steadily(&world, 20, Duration::from_millis(2_500), read).await;
         let runs = runs_within(&world, "p-0", time).await;
         assert!((least..=most).contains(&runs), "{limit} a second: {runs}");
     }
     world.targets.name_limit("p-0", None);
-    press(&world, 20, Duration::from_millis(2_500), read).await;
+    send_steadily(&world, 20, Duration::from_millis(2_500), read).await;
     let runs = runs_within(&world, "p-0", time).await;
     assert!(runs >= 75, "lifted: {runs} of 80");
 }
@@ -211,21 +218,22 @@
     let world = world(95, 4).await;
     world.targets.leave("p-1");
     world.targets.name_limit("p-0", Some("0.5"));
-    press(&world, 20, Duration::from_secs(3), read).await;
+    send_steadily(&world, 20, Duration::from_secs(3), read).await;
     world.targets.restart("p-0");
     sleep(1_000).await;
     let runs = runs_within(&world, "p-0", Duration::from_secs(2)).await;
     assert!(runs >= 36, "{runs} of 40");
 }
 
-/// All daemons know from its entry that it warms up, and send it together what it takes.
+/// All daemons read from the entry that the target is warming up, and together keep to the limit of
+/// its service.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_target_that_warms_up_gets_no_more_than_its_service_says() {
     let world = world(98, 6).await;
-    press(&world, 60, Duration::from_secs(1), read).await;
+    send_steadily(&world, 60, Duration::from_secs(1), read).await;
     world.targets.warm_up("p-0", Duration::from_secs(3));
-    let since = Instant::now() + HEARD;
-    press(&world, 60, Duration::from_millis(2_800), read).await;
+    let since = Instant::now() + PROPAGATION_TIME;
+    send_steadily(&world, 60, Duration::from_millis(2_800), read).await;
     let most = world
         .targets
         .ledger
@@ -237,18 +245,22 @@
     let before: usize = limited().sum();
     runs_within(&world, "p-0", Duration::from_secs(2)).await;
     sleep(300).await;
-    assert_eq!(limited().sum::<usize>(), before, "it is warm by then");
+    assert_eq!(
+        limited().sum::<usize>(),
+        before,
+        "the target is warm by then"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn retries_keep_to_a_limit_too() {
     let world = world(96, 4).await;
-    press(&world, 20, Duration::from_secs(1), read).await;
+    send_steadily(&world, 20, Duration::from_secs(1), read).await;
     world.targets.set_fault("p-1", Fault::LoseAnswers);
     world.targets.name_limit("p-0", Some("2.5"));
     let named = Instant::now();
-    press(&world, 30, Duration::from_secs(8), read).await;
-    let most = most_in_window(&world, "p-0", named + HEARD);
+    send_steadily(&world, 30, Duration::from_secs(8), read).await;
+    let most = most_in_window(&world, "p-0", named + PROPAGATION_TIME);
     assert!(
         most <= allowed(2.5),
         "{most} requests in 4 s, 10 are allowed"
--- a/crates/thistlesill-edge/tests/it/soak.rs
+++ b/crates/thistlesill-edge/tests/it/soak.rs
@@ -1,4 +1,4 @@
-//! A short run of the fault soak; longer ones are played by hand.
+//! A short run of the fault soak; longer runs are started by hand.
 
 use std::path::Path;
 use std::time::Duration;
@@ -7,12 +7,12 @@
 
 use crate::support::claim;
 
-/// The seed that CI plays.
+/// The seed of the run in CI.
 const SEED: u64 = 7;
-/// How long faults last in it.
+/// Time during which faults are injected.
 const TIME: Duration = Duration::from_secs(8);
 
-/// Seeds that once failed, with the cause.
+/// Seeds that failed before, with the cause.
 const CASES: [(u64, &str); 1] = [(
     114,
     "the soak itself did not start a daemon again that ended after the rest was healed",
--- a/crates/thistlesill-edge/tests/it/stops.rs
+++ b/crates/thistlesill-edge/tests/it/stops.rs
@@ -1,4 +1,4 @@
-//! Planned stops, kills and takeovers.
+//! Planned stops, kills and takeovers of the lease.
 
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
     let health = Ask::new("health", "GET", "/api/ready");
     let got = call(world.daemons[0].health(), &health)
         .await
-        .expect("it still answers");
+        .expect("the stopping daemon still answers");
     assert_eq!(got.status, 503);
     // The balancer has not noticed yet: a caller still gets an answer.
     assert_eq!(ask(&world, 0, book("late")).await.status, 200);
@@ -32,7 +32,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stopping_daemon_refuses_what_it_could_not_end() {
     let world = world(36, 1).await;
-    // A request whose target says nothing keeps the process for its time.
+    // A request to a silent target keeps the process running until the request's time is over.
     for link in &world.targets.links[8..] {
         link.set(Harm::Silent);
     }
@@ -52,7 +52,7 @@
 async fn requests_that_wait_for_a_daemon_to_start_are_served() {
     let mut world = world(34, 1).await;
     world.daemons[0].kill().await;
-    // The first reads of the store end after the first requests have come.
+    // The first reads of the store end after the first requests have arrived.
     world.links[0].set(Harm::Delay(Duration::from_millis(15)));
     world.daemons[0].start();
     let address = world.daemons[0].callers();
@@ -64,7 +64,7 @@
     };
     assert_eq!(
         first.status, 200,
-        "a caller that came at once was turned away"
+        "a caller that connected at once was refused"
     );
     assert!(first.whole);
     assert_eq!(ask(&world, 0, read("second")).await.status, 200);
@@ -89,7 +89,7 @@
             .find(|l| l.starts_with("thistlesill_edge_messages_sent_total"));
         assert!(
             sent.is_some(),
-            "{} has told nobody of its load",
+            "{} has sent its load to no peer",
             daemon.name
         );
     }
@@ -123,8 +123,8 @@
     let world = world(37, 4).await;
     sleep(2_500).await;
     let holder = (0..4).find(|d| !world.lines(*d, "ev=lease_gained").is_empty());
-    // The daemons that come first in their data centres, and the holder; all
-    // of them go on talking to the others.
+    // The first daemons of their data centres, and the holder, lose the store; they can still reach
+    // the other daemons.
     let mut cut = vec![0, 1];
     cut.extend(holder.filter(|h| *h > 1));
     for daemon in &cut {
--- a/crates/thistlesill-edge/tests/it/streams.rs
+++ b/crates/thistlesill-edge/tests/it/streams.rs
@@ -1,4 +1,4 @@
-//! Streams arrive whole, in order and once, also when their group is lost.
+//! Streams arrive complete, in order and without duplicates, even when their group is lost.
 
 use std::time::{Duration, Instant};
 
@@ -7,7 +7,7 @@
 
 use crate::support::{ask, sleep, stream, world};
 
-fn all() -> Vec<u64> {
+fn all_events() -> Vec<u64> {
     (1..=EVENTS).collect()
 }
 
@@ -26,7 +26,7 @@
         let got = ask(&world, 0, stream(&id).model("small")).await;
         let runs = world.targets.ledger.runs(&id);
         if got.whole {
-            assert_eq!(got.events(), all(), "{}", got.body);
+            assert_eq!(got.events(), all_events(), "{}", got.body);
             resumed += usize::from(runs.len() > 1);
         }
         sleep(50).await;
@@ -34,7 +34,7 @@
     let others = leaders.iter().filter(|(_, m)| m.len() == 2).count();
     assert!(
         others < 2 || resumed > 0,
-        "no stream was taken up elsewhere"
+        "no stream was resumed at another target"
     );
 }
 
@@ -49,15 +49,14 @@
     world.targets.set_fault(large.as_str(), Fault::Hesitate);
     let got = ask(&world, 0, stream("pause")).await;
     assert!(got.whole);
-    assert_eq!(got.events(), all(), "{}", got.body);
+    assert_eq!(got.events(), all_events(), "{}", got.body);
     let pieces = got.body.matches("data: pause:").count();
-    assert_eq!(pieces, all().len(), "{}", got.body);
+    assert_eq!(pieces, all_events().len(), "{}", got.body);
 }
 
-/// After all daemons had started again, callers asked for the same groups at once, and first
-/// events were later than the objective. Each request was given up at its target for another
-/// one before its daemon knew whether it had a retry left: of 323 such requests 135 ended
-/// with "it may have run" while their targets were about to answer.
+/// After a restart of all daemons, many requests at once made first events later than the
+/// objective. Each request was abandoned at its target before the daemon knew whether a retry was
+/// left: 135 of 323 requests ended with "it may have run" while their targets were about to answer.
 ///
 /// ```text
 /// ev=attempt_failed outcome=may_have_run why="no answer begins" next=fail:sent_unknown
@@ -69,16 +68,16 @@
         world.targets.set_fault(leader.as_str(), Fault::SlowStart);
     }
     let address = world.daemons[0].callers();
-    let asked: Vec<_> = (0..16)
+    let tasks: Vec<_> = (0..16)
         .map(|i| {
             let stream = stream(&format!("late-{i}")).model("small");
             tokio::spawn(async move { call(address, &stream).await })
         })
         .collect();
-    for one in asked {
-        let got = one.await.expect("the task ends").expect("an answer");
+    for task in tasks {
+        let got = task.await.expect("the task ends").expect("an answer");
         assert_eq!(got.status, 200, "{got:?}");
-        assert_eq!(got.events(), all());
+        assert_eq!(got.events(), all_events());
     }
 }
 
@@ -86,7 +85,7 @@
 async fn a_stream_that_its_caller_takes_up_again_gives_way_to_others() {
     let world = world(24, 1).await;
     let address = world.daemons[0].callers();
-    // Most of the places of the one large group.
+    // Most of the slots of the one large group.
     let others: Vec<_> = (0..20)
         .map(|i| {
             let stream = stream(&format!("other-{i}"));
@@ -97,7 +96,7 @@
     let begun = Instant::now();
     let got = ask(&world, 0, stream("again").after(3)).await;
     let took = begun.elapsed();
-    assert_eq!(got.events(), all()[3..]);
+    assert_eq!(got.events(), all_events()[3..]);
     assert!(
         took > Duration::from_millis(230),
         "it began at once: {took:?}"
@@ -121,7 +120,7 @@
     loop {
         let again = ask(&world, 0, stream("again")).await;
         if again.status == 200 && again.whole {
-            assert_eq!(again.events(), all());
+            assert_eq!(again.events(), all_events());
             break;
         }
         assert!(
@@ -137,9 +136,10 @@
         "{:?}",
         world.targets.breaches()
     );
-    let told = (0..2).flat_map(|d| world.lines(d, "ev=order"));
+    let orders = (0..2).flat_map(|d| world.lines(d, "ev=order"));
     assert!(
-        told.into_iter()
+        orders
+            .into_iter()
             .any(|l| l.contains("order=cut") && l.contains(leader.as_str()))
     );
 }
--- a/crates/thistlesill-edge/tests/it/support.rs
+++ b/crates/thistlesill-edge/tests/it/support.rs
@@ -1,4 +1,4 @@
-//! A deployment for one test.
+//! Deployments for tests, and common requests.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
@@ -8,35 +8,38 @@
 use thistlesill_platform_standin::caller::{Ask, Got, call};
 use thistlesill_platform_standin::world::World;
 
-/// Starts a deployment; `net` keeps the tests' addresses apart.
+/// Starts a deployment; `net` selects its address range and differs between tests.
 pub(crate) async fn world(net: u8, daemons: u8) -> World {
     let (program, folder) = place(net);
     World::start(program, &folder, net, daemons).await
 }
 
-/// The same, with daemons that find each other through two seeds and one that is down.
+/// Starts a deployment of which the daemons find each other through two seeds and one that is down.
 pub(crate) async fn seeded_world(net: u8, daemons: u8) -> World {
     let (program, folder) = place(net);
     World::start_seeded(program, &folder, net, daemons, 2).await
 }
 
-/// The same, with daemons that read the store while it is still empty.
+/// Starts a deployment of which the daemons read the store while it is still empty.
 pub(crate) async fn early_world(net: u8, daemons: u8) -> World {
     let (program, folder) = place(net);
     let early = Duration::from_millis(1_000);
     World::start_early(program, &folder, net, daemons, early).await
 }
 
-/// Takes a number for the addresses of one deployment.
+/// Reserves the address range `net` for one deployment.
 ///
-/// Two tests with the same one fail only when they happen to run at the same time.
+/// Two tests with the same range would fail only when they happen to run at the same time.
 pub(crate) fn claim(net: u8) {
     static TAKEN: Mutex<BTreeSet<u8>> = Mutex::new(BTreeSet::new());
     let mut taken = TAKEN.lock().unwrap_or_else(PoisonError::into_inner);
-    assert!(taken.insert(net), "{net} is another test's number");
+    assert!(
+        taken.insert(net),
+        "{net} is the address range of another test"
+    );
 }
 
-/// The program, and an empty folder for the deployment.
+/// Returns the program and an empty folder for the deployment.
 fn place(net: u8) -> (&'static Path, PathBuf) {
     claim(net);
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("world-{net}"));
@@ -44,23 +47,23 @@
     (Path::new(env!("CARGO_BIN_EXE_thistlesill-edge")), folder)
 }
 
-/// Sends a request to a daemon that must answer.
+/// Sends a request to a daemon, which must answer.
 pub(crate) async fn ask(world: &World, daemon: usize, ask: Ask) -> Got {
     let got = call(world.daemons[daemon].callers(), &ask).await;
     got.unwrap_or_else(|e| panic!("{}: {e}", ask.id))
 }
 
-/// A request that may run only once.
+/// Builds a request that may run only once.
 pub(crate) fn book(id: &str) -> Ask {
     Ask::new(id, "POST", "/book/bunk").body("two bunks")
 }
 
-/// A request that may run more than once.
+/// Builds a request that may run more than once.
 pub(crate) fn read(id: &str) -> Ask {
     Ask::new(id, "GET", "/read/x?a=1&b=%2F")
 }
 
-/// A stream of the large model.
+/// Builds a request for a stream of the large model.
 pub(crate) fn stream(id: &str) -> Ask {
     Ask::new(id, "POST", "/large/s")
         .model("large")
@@ -71,7 +74,7 @@
     tokio::time::sleep(Duration::from_millis(ms)).await;
 }
 
-/// The daemons that read the store for others, by their last lines.
+/// Returns the daemons that read the store, by their last log lines.
 pub(crate) fn readers(world: &World) -> Vec<usize> {
     let reads = |daemon: &usize| {
         let lines = world.lines(*daemon, "ev=store_reader");
@@ -80,7 +83,7 @@
     (0..world.daemons.len()).filter(reads).collect()
 }
 
-/// The daemon that forms groups, by its lines.
+/// Returns the daemon that forms groups, by its log lines.
 pub(crate) fn planner(world: &World) -> usize {
     let plans = |daemon: &usize| !world.lines(*daemon, "ev=lease_gained").is_empty();
     let mut planners = (0..world.daemons.len()).filter(plans);
