--- a/crates/thistlesill-edge/src/daemon.rs
+++ b/crates/thistlesill-edge/src/daemon.rs
@@ -336,7 +336,7 @@
 fn note_suspended(edge: &Edge) {
     if let Some(time) = edge.alarm.look() {
         edge.lanes.clear();
-        edge.store.drop_idle();
+        edge.store.close_idle();
         let line = edge.lines.line("suspended").with("for_ms", time.get());
         line.with("active", edge.active.get()).write();
     }
--- a/crates/thistlesill-edge/src/job.rs
+++ b/crates/thistlesill-edge/src/job.rs
@@ -55,7 +55,7 @@
     pub(crate) fn new(edge: Rc<Edge>, passage: Admission, arrival: Arrival) -> Self {
         Self {
             due: arrival.at + passage.timeout,
-            headers: caller::forwarded(&arrival.parts.headers),
+            headers: caller::forwarded_headers(&arrival.parts.headers),
             edge,
             passage,
             head: arrival.head,
@@ -88,7 +88,7 @@
 
     /// Tokens of the prompt, as far as they are known.
     pub(crate) fn prompt(&self) -> u32 {
-        let tokens = self.head.prompt.unwrap_or(0);
+        let tokens = self.head.prompt_tokens.unwrap_or(0);
         u32::try_from(tokens).unwrap_or(u32::MAX)
     }
 
@@ -102,7 +102,7 @@
             engine,
             model,
             prompt: self.prompt(),
-            answer: self.head.hint.or(self.head.answer),
+            answer: self.head.length_hint.or(self.head.max_answer_tokens),
             refused,
         };
         let now = self.edge.now();
@@ -170,11 +170,11 @@
         let head = TargetHead {
             customer: customer.map(thistlesill_core::CustomerId::as_str),
             target: &target.id,
-            left: self.left(),
+            remaining: self.left(),
             priority: self.passage.priority,
             last_event,
         };
-        caller::address(&mut headers, &head);
+        caller::set_target_headers(&mut headers, &head);
         *request.headers_mut() = headers;
         request
     }
--- a/crates/thistlesill-edge/src/limits.rs
+++ b/crates/thistlesill-edge/src/limits.rs
@@ -92,12 +92,12 @@
 /// Notes what an answer to a request that was `sent` says of its target's limit.
 pub(crate) fn note_answer(job: &Job, target: &Target, info: &AnswerHead, sent: Millis) {
     let edge = &job.edge;
-    if info.rate == LimitHeader::Foreign {
+    if info.rate_limit == LimitHeader::Foreign {
         return;
     }
-    note_unreadable(job, target, &info.rate);
+    note_unreadable(job, target, &info.rate_limit);
     let report = LimitReport {
-        limit: info.rate.limit(),
+        limit: info.rate_limit.limit(),
         from: sent,
         until: edge.now(),
     };
--- a/crates/thistlesill-edge/src/planner.rs
+++ b/crates/thistlesill-edge/src/planner.rs
@@ -407,14 +407,14 @@
                     if planner.lease.borrow().term(planner.edge.now()).is_none() {
                         return;
                     }
-                    let reply = engine::give(&target, address, &order, within(ORDER)).await;
+                    let reply = engine::send_order(&target, address, &order, within(ORDER)).await;
                     planner.note_order(&target, &order, &format!("{reply:?}"), reason);
                     planner.with_fleet(&service, |fleet, now| {
                         fleet.record_reply(&target, &order, reply, now);
                     });
                 }
                 FleetAction::Probe { target, address } => {
-                    let report = engine::ask_report(&target, address, within(PROBE)).await;
+                    let report = engine::fetch_report(&target, address, within(PROBE)).await;
                     let edge = &planner.edge;
                     let line = edge.lines.line("probe").with("target", &target);
                     match &report {
--- a/crates/thistlesill-edge/src/proxy.rs
+++ b/crates/thistlesill-edge/src/proxy.rs
@@ -299,9 +299,9 @@
         quarantine::note_good(job);
     }
     if !info.closing {
-        job.keep_lane(&target.id, lane, info.keep);
+        job.keep_lane(&target.id, lane, info.keep_alive);
     }
-    caller::remove_hop(&mut headers);
+    caller::remove_hop_by_hop(&mut headers);
     track.ended(status.as_u16(), Some(&target.id), body.len());
     Ok(reply::whole(status, headers, body))
 }
--- a/crates/thistlesill-edge/src/relay.rs
+++ b/crates/thistlesill-edge/src/relay.rs
@@ -159,7 +159,7 @@
             body: answered.body,
             lane: answered.lane,
             target: answered.target,
-            keep: answered.info.keep,
+            keep: answered.info.keep_alive,
             closing: answered.info.closing,
             flight: answered.flight,
             last: None,
@@ -176,7 +176,7 @@
 ) -> Response<OutBody> {
     let status = answered.status;
     let mut headers = answered.headers.clone();
-    caller::remove_hop(&mut headers);
+    caller::remove_hop_by_hop(&mut headers);
     attempts.sent += 1;
     attempts.may_have_run = true;
     let edge = job.edge.clone();
--- a/crates/thistlesill-edge/src/relay/passing.rs
+++ b/crates/thistlesill-edge/src/relay/passing.rs
@@ -27,7 +27,7 @@
 pub(crate) fn pass_on(job: Rc<Job>, answered: Answered, track: &mut Track) -> Response<OutBody> {
     let status = answered.status;
     let mut headers = answered.headers.clone();
-    caller::remove_hop(&mut headers);
+    caller::remove_hop_by_hop(&mut headers);
     let passing = Passing {
         track: track.split(&job.edge),
         source: Source::new(answered),
--- a/crates/thistlesill-edge/src/watch.rs
+++ b/crates/thistlesill-edge/src/watch.rs
@@ -45,7 +45,7 @@
 const fn after_failure(error: &StoreError) -> AfterFailure {
     match error {
         StoreError::HistoryGone => AfterFailure::ReadWhole,
-        _ if error.is_of_kept() => AfterFailure::AskAgain,
+        _ if error.is_on_reused_connection() => AfterFailure::AskAgain,
         _ => AfterFailure::Wait,
     }
 }
