--- a/crates/thistlesill-edge/tests/it/answers.rs
+++ b/crates/thistlesill-edge/tests/it/answers.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use thistlesill_platform_standin::link::Harm;
+use thistlesill_platform_standin::link::LinkFault;
 use thistlesill_platform_standin::targets::Fault;
 
 use crate::support::{ask, book, read, sleep, world};
@@ -15,7 +15,7 @@
     let world = world(1, 1).await;
     let got = ask(&world, 0, book("once")).await;
     assert_eq!(
-        (got.status, got.body.as_str(), got.whole),
+        (got.status, got.body.as_str(), got.is_complete),
         (200, "POST once", true)
     );
     let got = ask(&world, 0, read("read")).await;
@@ -24,7 +24,7 @@
     assert_eq!(runs.len(), 1);
     assert_eq!(runs[0].path, "/read/x?a=1&b=%2F");
     assert_eq!(runs[0].customer.as_deref(), Some("customer"));
-    assert!(!runs[0].leaked);
+    assert!(!runs[0].has_caller_key);
     assert_eq!(world.targets.ledger.runs("once")[0].body, b"two bunks");
 }
 
@@ -34,10 +34,10 @@
     let mut large = read("large");
     large.path = "/read/x?pad=700000".to_owned();
     let got = ask(&world, 0, large).await;
-    assert_eq!((got.status, got.whole), (200, true));
+    assert_eq!((got.status, got.is_complete), (200, true));
     assert_eq!(got.body.len(), "GET large".len() + 700_000);
     sleep(300).await;
-    let ends = world.lines(0, "id=large");
+    let ends = world.log_lines(0, "id=large");
     assert!(
         ends.iter().any(|l| l.contains("outcome=answered")),
         "{ends:?}"
@@ -104,7 +104,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_target_that_refuses_is_not_asked_first_by_every_request() {
     let world = world(82, 1).await;
-    world.targets.links[9].set(Harm::Delay(Duration::from_millis(30)));
+    world.targets.links[9].set_fault(LinkFault::Delay(Duration::from_millis(30)));
     for i in 0..6 {
         let got = ask(&world, 0, read(&format!("before-{i}"))).await;
         assert_eq!(got.status, 200);
--- a/crates/thistlesill-edge/tests/it/calls.rs
+++ b/crates/thistlesill-edge/tests/it/calls.rs
@@ -4,9 +4,7 @@
 //! callers were served: 11 a daemon at its start, one a daemon for each new catalog,
 //! and 1.2 a second for each reader of the catalog.
 
-use thistlesill_platform_standin::store::{
-    CATALOG_QUESTION, CATALOG_READ, DAEMONS_READ, LEASE_READ,
-};
+use thistlesill_platform_standin::store::{CATALOG_FEED, CATALOG_READ, DAEMONS_READ, LEASE_READ};
 
 use crate::support::{ask, read, sleep, world};
 
@@ -16,10 +14,10 @@
 async fn daemons_that_start_together_read_the_list_once_and_one_looks_for_the_lease() {
     let world = world(61, DAEMONS as u8).await;
     sleep(2_500).await;
-    let lists = world.store.asked(DAEMONS_READ);
+    let lists = world.store.call_count(DAEMONS_READ);
     assert!(lists <= DAEMONS, "{lists} reads of the list");
     // The first daemon of each data centre looks again if the first of all is slow.
-    let leases = world.store.asked(LEASE_READ);
+    let leases = world.store.call_count(LEASE_READ);
     assert!(leases <= 3, "{leases} reads of the lease");
 }
 
@@ -27,7 +25,7 @@
 async fn a_new_catalog_goes_from_daemon_to_daemon() {
     let world = world(62, DAEMONS as u8).await;
     sleep(2_500).await;
-    let before = world.store.asked(CATALOG_READ);
+    let before = world.store.call_count(CATALOG_READ);
     for version in [9, 10, 11] {
         world.set_catalog(version, &["k1"]);
         sleep(1_500).await;
@@ -36,7 +34,7 @@
         let got = ask(&world, daemon, read("gone").key(Some("k2"))).await;
         assert_eq!(got.status, 401, "daemon {daemon}");
     }
-    let reads = world.store.asked(CATALOG_READ) - before;
+    let reads = world.store.call_count(CATALOG_READ) - before;
     assert!(reads <= 3, "{reads} reads of the catalog");
 }
 
@@ -51,7 +49,7 @@
     world.daemons[5].set_bound("drainMs", 300);
     world.daemons[5].start();
     sleep(5_500).await;
-    let lines = world.lines(5, "ev=status");
+    let lines = world.log_lines(5, "ev=status");
     let last = lines.last().expect("it tells how it is");
     let calls = |name: &str| {
         let count = last.split(&format!(" {name}=")).nth(1);
@@ -66,9 +64,9 @@
 async fn one_daemon_follows_the_catalog_for_all() {
     let world = world(63, DAEMONS as u8).await;
     sleep(2_500).await;
-    let before = world.store.asked(CATALOG_QUESTION);
+    let before = world.store.call_count(CATALOG_FEED);
     sleep(4_000).await;
-    let questions = world.store.asked(CATALOG_QUESTION) - before;
+    let questions = world.store.call_count(CATALOG_FEED) - before;
     // The settings have a catalog be in force within 2 s; a question waits for a
     // sixth of that.
     assert!(questions <= 14, "{questions} questions in 4 s");
--- a/crates/thistlesill-edge/tests/it/evacuation.rs
+++ b/crates/thistlesill-edge/tests/it/evacuation.rs
@@ -4,8 +4,8 @@
 
 use nix::sys::signal::Signal;
 use serde_json::json;
-use thistlesill_platform_standin::caller::{Ask, Got, call};
-use thistlesill_platform_standin::link::Harm;
+use thistlesill_platform_standin::caller::{CallerAnswer, CallerRequest, call};
+use thistlesill_platform_standin::link::LinkFault;
 use thistlesill_platform_standin::targets::Fault;
 use thistlesill_platform_standin::world::{WARMUP_RATE, World};
 
@@ -22,7 +22,7 @@
 /// A deployment with a plain target in each of two data centres; all others are in `h`.
 async fn two_halls(net: u8, daemons: u8) -> World {
     let world = world(net, daemons).await;
-    world.targets.place_in("p-1", "other");
+    world.targets.set_hall("p-1", "other");
     sleep(800).await;
     world
 }
@@ -38,13 +38,13 @@
 }
 
 /// Sends reads through all daemons in turn for a time; returns the answers.
-async fn press(world: &World, time: Duration) -> Vec<Got> {
+async fn press(world: &World, time: Duration) -> Vec<CallerAnswer> {
     let start = Instant::now();
     let mut answers = Vec::new();
     while start.elapsed() < time {
         for daemon in &world.daemons {
             let id = format!("{}-{}", daemon.name, start.elapsed().as_nanos());
-            if let Ok(got) = call(daemon.callers(), &read(&id)).await {
+            if let Ok(got) = call(daemon.caller_address(), &read(&id)).await {
                 answers.push(got);
             }
         }
@@ -64,7 +64,7 @@
     .sum()
 }
 
-fn all_served(answers: &[Got]) -> bool {
+fn all_served(answers: &[CallerAnswer]) -> bool {
     !answers.is_empty() && answers.iter().all(|got| got.status == 200)
 }
 
@@ -96,7 +96,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn streams_that_run_in_an_evacuated_data_centre_end_there() {
     let world = two_halls(112, 4).await;
-    let address = world.daemons[0].callers();
+    let address = world.daemons[0].caller_address();
     let running: Vec<_> = (0..8)
         .map(|n| {
             let ask = stream(&format!("running-{n}"));
@@ -107,7 +107,7 @@
     evacuate(&world, "h");
     for task in running {
         let got = task.await.expect("the task ends").expect("an answer");
-        assert!(got.status == 200 && got.whole, "{got:?}");
+        assert!(got.status == 200 && got.is_complete, "{got:?}");
     }
 }
 
@@ -147,7 +147,7 @@
     let plans = planner(&world);
     let cut = (0..6).filter(|daemon| *daemon != plans);
     for daemon in cut {
-        world.links[daemon].set(Harm::Silent);
+        world.links[daemon].set_fault(LinkFault::Stalled);
     }
     evacuate(&world, "h");
     sleep(1_000).await;
@@ -172,7 +172,7 @@
     });
     press(&world, Duration::from_secs(3)).await;
     warms.await.expect("the task ends");
-    let most = world.targets.ledger.most_at("p-0", since, SECOND);
+    let most = world.targets.ledger.max_starts_within("p-0", since, SECOND);
     assert!(most <= WARMUP_BOUND, "{most} requests in a second");
     assert!(most >= 5, "only {most} requests in a second");
 }
@@ -198,7 +198,7 @@
     sleep(4_000).await;
     let answers = press(&world, Duration::from_secs(1)).await;
     assert!(all_served(&answers), "the first one serves again");
-    let health = Ask::new("health", "GET", "/api/ready");
-    let ready = call(world.daemons[0].health(), &health).await;
+    let health = CallerRequest::new("health", "GET", "/api/ready");
+    let ready = call(world.daemons[0].health_address(), &health).await;
     assert_eq!(ready.expect("it answers").status, 200);
 }
--- a/crates/thistlesill-edge/tests/it/fatal.rs
+++ b/crates/thistlesill-edge/tests/it/fatal.rs
@@ -16,7 +16,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use thistlesill_platform_standin::caller::{Ask, Got, call};
+use thistlesill_platform_standin::caller::{CallerAnswer, CallerRequest, call};
 use thistlesill_platform_standin::daemon::Daemon;
 use thistlesill_platform_standin::ledger::Run;
 use thistlesill_platform_standin::targets::FATAL;
@@ -34,13 +34,13 @@
 const GAP: u64 = 150;
 
 /// A request that ends its targets.
-fn fatal(id: impl Into<String>) -> Ask {
-    Ask::new(id, "POST", "/read/x").body(FATAL)
+fn fatal(id: impl Into<String>) -> CallerRequest {
+    CallerRequest::new(id, "POST", "/read/x").body(FATAL)
 }
 
 /// The runs that count against the operators' bound.
 fn later(runs: &[Run]) -> usize {
-    let mut begun: Vec<Instant> = runs.iter().map(|run| run.at).collect();
+    let mut begun: Vec<Instant> = runs.iter().map(|run| run.started_at).collect();
     begun.sort_unstable();
     let Some(known) = begun.get(KNOWN_AFTER - 1) else {
         return 0;
@@ -49,7 +49,7 @@
 }
 
 /// Sends the request through the daemons in turn, a number of times.
-async fn repeat(world: &World, name: &str, times: usize) -> Vec<Got> {
+async fn repeat(world: &World, name: &str, times: usize) -> Vec<CallerAnswer> {
     let mut all = Vec::new();
     for i in 0..times {
         let daemon = i % world.daemons.len();
@@ -77,7 +77,7 @@
     assert!(world.targets.ledger.runs("refused").is_empty());
     // Lines are written in batches.
     sleep(300).await;
-    let lines = world.lines(0, "id=refused");
+    let lines = world.log_lines(0, "id=refused");
     assert!(
         lines.iter().any(|l| l.contains("outcome=withheld")),
         "{lines:?}"
@@ -132,8 +132,8 @@
 async fn one_that_may_run_once_is_withheld_too_and_its_refusals_are_true() {
     let world = world(87, 2).await;
     for i in 0..30 {
-        let ask = Ask::new(format!("once-{i}"), "POST", "/book/x").body(FATAL);
-        let got = call(world.daemons[i % 2].callers(), &ask).await;
+        let ask = CallerRequest::new(format!("once-{i}"), "POST", "/book/x").body(FATAL);
+        let got = call(world.daemons[i % 2].caller_address(), &ask).await;
         let got = got.unwrap_or_else(|e| panic!("{}: {e}", ask.id));
         let runs = world.targets.ledger.runs(&ask.id).len();
         assert!(runs <= 1, "{} ran {runs} times", ask.id);
@@ -147,7 +147,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn streams_that_ran_beside_it_are_served() {
     let world = world(88, 2).await;
-    let addresses: Vec<_> = world.daemons.iter().map(Daemon::callers).collect();
+    let addresses: Vec<_> = world.daemons.iter().map(Daemon::caller_address).collect();
     let others: Vec<_> = (0..12)
         .map(|i| {
             let address = addresses[i % 2];
@@ -166,7 +166,7 @@
     }
     let runs = world.targets.ledger.runs_of_body(FATAL);
     assert!(later(&runs) <= MOST_LATER, "{} late", later(&runs));
-    assert!(world.targets.breaches().is_empty());
+    assert!(world.targets.violations().is_empty());
 }
 
 /// Asks for a stream again and again, as a caller does whose stream broke off; returns
@@ -177,7 +177,7 @@
         let ask = ask.body(format!("prompt {number}"));
         if call(address, &ask)
             .await
-            .is_ok_and(|got| got.whole && got.status == 200)
+            .is_ok_and(|got| got.is_complete && got.status == 200)
         {
             return Some(tries);
         }
--- a/crates/thistlesill-edge/tests/it/keys.rs
+++ b/crates/thistlesill-edge/tests/it/keys.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use thistlesill_platform_standin::link::Harm;
+use thistlesill_platform_standin::link::LinkFault;
 use thistlesill_platform_standin::store::{LEASE_READ, Mode};
 use thistlesill_platform_standin::world::catalog;
 
@@ -33,7 +33,7 @@
 async fn without_the_store_keys_pass_only_as_long_as_the_proof_is_young() {
     let world = world(12, 2).await;
     assert_eq!(ask(&world, 0, book("before")).await.status, 200);
-    world.store.set_mode(Mode::Silent);
+    world.store.set_mode(Mode::Unresponsive);
     sleep(3_200).await;
     for daemon in 0..2 {
         let got = ask(&world, daemon, book("after")).await;
@@ -60,9 +60,9 @@
     // Else all ask the one daemon that they know to read the store.
     world.daemons[planner].signal(nix::sys::signal::Signal::SIGSTOP);
     sleep(OUTAGE_MS - 1_500).await;
-    let looks = world.store.asked(LEASE_READ);
+    let looks = world.store.call_count(LEASE_READ);
     sleep(1_500).await;
-    let looks = world.store.asked(LEASE_READ) - looks;
+    let looks = world.store.call_count(LEASE_READ) - looks;
     world.store.set_mode(Mode::Up);
     let back = Instant::now();
     for daemon in (0..world.daemons.len()).filter(|d| *d != planner) {
@@ -87,7 +87,7 @@
     world.set_catalog(9, &["k1"]);
     sleep(3_500).await;
     let late = tokio::spawn({
-        let address = world.daemons[0].callers();
+        let address = world.daemons[0].caller_address();
         let ask = book("frozen").key(Some("k2"));
         async move { thistlesill_platform_standin::caller::call(address, &ask).await }
     });
@@ -96,7 +96,7 @@
     let got = late.await.expect("the task ends").expect("an answer");
     assert!(matches!(got.status, 401 | 503), "{}", got.status);
     assert!(world.targets.ledger.runs("frozen").is_empty());
-    assert!(world.daemons[0].runs());
+    assert!(world.daemons[0].is_running());
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -123,7 +123,7 @@
     world.store.put("op", "config", &broken);
     sleep(800).await;
     assert_eq!(ask(&world, 0, read("still")).await.status, 200);
-    assert!(!world.lines(0, "ev=catalog_refused").is_empty());
+    assert!(!world.log_lines(0, "ev=catalog_refused").is_empty());
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -133,7 +133,7 @@
     let readers = readers(&world);
     assert!(!readers.is_empty() && readers.len() < 4, "{readers:?}");
     for reader in &readers {
-        world.links[*reader].set(Harm::Silent);
+        world.links[*reader].set_fault(LinkFault::Stalled);
     }
     world.set_catalog(9, &["k1"]);
     // The settings allow two seconds.
--- a/crates/thistlesill-edge/tests/it/limits.rs
+++ b/crates/thistlesill-edge/tests/it/limits.rs
@@ -14,7 +14,7 @@
 use std::time::{Duration, Instant};
 
 use nix::sys::signal::Signal;
-use thistlesill_platform_standin::caller::{Ask, Got, call};
+use thistlesill_platform_standin::caller::{CallerAnswer, CallerRequest, call};
 use thistlesill_platform_standin::daemon::Daemon;
 use thistlesill_platform_standin::targets::Fault;
 use thistlesill_platform_standin::world::World;
@@ -30,11 +30,16 @@
 const AT_ONCE: Duration = Duration::from_millis(100);
 
 /// An answer, and how long it took.
-type Timed = (Got, Duration);
+type Timed = (CallerAnswer, Duration);
 
 /// Sends requests at a steady rate through all daemons in turn; returns the answers.
-async fn press(world: &World, per_second: u32, time: Duration, ask: fn(&str) -> Ask) -> Vec<Timed> {
-    let addresses: Vec<SocketAddr> = world.daemons.iter().map(Daemon::callers).collect();
+async fn press(
+    world: &World,
+    per_second: u32,
+    time: Duration,
+    ask: fn(&str) -> CallerRequest,
+) -> Vec<Timed> {
+    let addresses: Vec<SocketAddr> = world.daemons.iter().map(Daemon::caller_address).collect();
     press_at(&addresses, per_second, time, ask).await
 }
 
@@ -42,7 +47,7 @@
     addresses: &[SocketAddr],
     per_second: u32,
     time: Duration,
-    ask: fn(&str) -> Ask,
+    ask: fn(&str) -> CallerRequest,
 ) -> Vec<Timed> {
     let start = Instant::now();
     let mut calls = Vec::new();
@@ -69,7 +74,10 @@
 
 /// The most runs that began at a target within one window since a moment.
 fn most_in_window(world: &World, target: &str, since: Instant) -> usize {
-    world.targets.ledger.most_at(target, since, WINDOW)
+    world
+        .targets
+        .ledger
+        .max_starts_within(target, since, WINDOW)
 }
 
 /// The most runs that a limit allows within one window; a part of one counts as one.
@@ -86,7 +94,8 @@
     let begun: Vec<String> = after
         .map(|time| format!("{} ms", time.as_millis()))
         .collect();
-    let lines = (0..world.daemons.len()).flat_map(|daemon| world.lines(daemon, "ev=limit_sent"));
+    let lines =
+        (0..world.daemons.len()).flat_map(|daemon| world.log_lines(daemon, "ev=limit_sent"));
     let mut lines: Vec<String> = lines.filter(|line| line.contains(target)).collect();
     lines.sort_unstable();
     format!("begun at {}\n{}", begun.join(", "), lines.join("\n"))
@@ -107,7 +116,7 @@
 async fn all_daemons_together_keep_to_a_limit() {
     let world = world(91, 6).await;
     press(&world, 30, Duration::from_secs(2), read).await;
-    world.targets.name_limit("p-0", Some("1.5"));
+    world.targets.set_limit("p-0", Some("1.5"));
     let named = Instant::now();
     let all = press(&world, 30, Duration::from_secs(9), read).await;
     let most = most_in_window(&world, "p-0", named + HEARD);
@@ -125,7 +134,7 @@
     let world = world(92, 4).await;
     sleep(1_500).await;
     let leader = large_leader(&world);
-    world.targets.name_limit(&leader, Some("2"));
+    world.targets.set_limit(&leader, Some("2"));
     let named = Instant::now();
     let all = press(&world, 12, Duration::from_secs(9), stream).await;
     let most = most_in_window(&world, &leader, named + HEARD);
@@ -146,9 +155,9 @@
 async fn a_limit_holds_while_daemons_are_killed_frozen_and_stopped() {
     let mut world = world(93, 6).await;
     press(&world, 30, Duration::from_secs(2), read).await;
-    world.targets.name_limit("p-0", Some("1.5"));
+    world.targets.set_limit("p-0", Some("1.5"));
     let named = Instant::now();
-    let addresses: Vec<SocketAddr> = world.daemons.iter().map(Daemon::callers).collect();
+    let addresses: Vec<SocketAddr> = world.daemons.iter().map(Daemon::caller_address).collect();
     let calls = tokio::spawn(async move {
         press_at(&addresses, 30, Duration::from_secs(18), read).await;
     });
@@ -165,7 +174,7 @@
         world.daemons[daemon].signal(Signal::SIGCONT);
     }
     world.daemons[2].signal(Signal::SIGTERM);
-    world.daemons[2].ended().await;
+    world.daemons[2].wait().await;
     world.daemons[2].start();
     calls.await.expect("the task ends");
     let most = most_in_window(&world, "p-0", named + HEARD);
@@ -194,13 +203,13 @@
     sleep(1_500).await;
     let time = Duration::from_secs(4);
     for (limit, least, most) in [("2", 5, 8), ("6", 14, 24), ("1", 2, 4)] {
-        world.targets.name_limit("p-0", Some(limit));
+        world.targets.set_limit("p-0", Some(limit));
         // The next answer tells of it; one is granted in two seconds at least.
         press(&world, 20, Duration::from_millis(2_500), read).await;
         let runs = runs_within(&world, "p-0", time).await;
         assert!((least..=most).contains(&runs), "{limit} a second: {runs}");
     }
-    world.targets.name_limit("p-0", None);
+    world.targets.set_limit("p-0", None);
     press(&world, 20, Duration::from_millis(2_500), read).await;
     let runs = runs_within(&world, "p-0", time).await;
     assert!(runs >= 75, "lifted: {runs} of 80");
@@ -210,7 +219,7 @@
 async fn another_life_of_a_target_is_not_held_to_the_limit_of_the_one_before() {
     let world = world(95, 4).await;
     world.targets.leave("p-1");
-    world.targets.name_limit("p-0", Some("0.5"));
+    world.targets.set_limit("p-0", Some("0.5"));
     press(&world, 20, Duration::from_secs(3), read).await;
     world.targets.restart("p-0");
     sleep(1_000).await;
@@ -229,11 +238,11 @@
     let most = world
         .targets
         .ledger
-        .most_at("p-0", since, Duration::from_secs(1));
+        .max_starts_within("p-0", since, Duration::from_secs(1));
     assert!(most <= WARMUP_BOUND, "{most} requests in a second");
     assert!(most >= 5, "only {most} requests in a second");
     sleep(1_000).await;
-    let limited = || (0..6).map(|daemon| world.lines(daemon, "ev=limit_sent").len());
+    let limited = || (0..6).map(|daemon| world.log_lines(daemon, "ev=limit_sent").len());
     let before: usize = limited().sum();
     runs_within(&world, "p-0", Duration::from_secs(2)).await;
     sleep(300).await;
@@ -245,7 +254,7 @@
     let world = world(96, 4).await;
     press(&world, 20, Duration::from_secs(1), read).await;
     world.targets.set_fault("p-1", Fault::LoseAnswers);
-    world.targets.name_limit("p-0", Some("2.5"));
+    world.targets.set_limit("p-0", Some("2.5"));
     let named = Instant::now();
     press(&world, 30, Duration::from_secs(8), read).await;
     let most = most_in_window(&world, "p-0", named + HEARD);
@@ -260,10 +269,10 @@
     let world = world(97, 2).await;
     world.targets.leave("p-1");
     sleep(1_500).await;
-    world.targets.name_limit("p-0", Some("-1"));
+    world.targets.set_limit("p-0", Some("-1"));
     let runs = runs_within(&world, "p-0", Duration::from_secs(2)).await;
     assert!(runs >= 36, "{runs} of 40");
     sleep(300).await;
-    let lines = world.lines(0, "ev=limit_unreadable");
+    let lines = world.log_lines(0, "ev=limit_unreadable");
     assert!(lines.iter().any(|l| l.contains("text=-1")), "{lines:?}");
 }
--- a/crates/thistlesill-edge/tests/it/owners.rs
+++ b/crates/thistlesill-edge/tests/it/owners.rs
@@ -25,7 +25,7 @@
 async fn line(world: &World, daemon: usize, id: &str) -> String {
     let until = Instant::now() + Duration::from_secs(5);
     loop {
-        let lines = world.lines(daemon, &format!("ev=request id={id} "));
+        let lines = world.log_lines(daemon, &format!("ev=request id={id} "));
         if let Some(line) = lines.last() {
             return line.clone();
         }
@@ -83,7 +83,7 @@
     for daemon in &world.daemons {
         for length in [0, 1, 7, 300] {
             for byte in [0, 1, 3, 5, 6, 7, 8, 255_u8] {
-                let sent = socket.send_to(&vec![byte; length], daemon.peers());
+                let sent = socket.send_to(&vec![byte; length], daemon.peer_address());
                 sent.expect("a datagram is sent");
             }
         }
--- a/crates/thistlesill-edge/tests/it/seeds.rs
+++ b/crates/thistlesill-edge/tests/it/seeds.rs
@@ -25,7 +25,7 @@
     let word = format!("peers={peers} ");
     for _ in 0..120 {
         if world
-            .lines(daemon, &word)
+            .log_lines(daemon, &word)
             .iter()
             .any(|l| l.contains("ev=status"))
         {
@@ -42,7 +42,7 @@
     for daemon in 0..DAEMONS {
         knows(&world, daemon, DAEMONS - 1).await;
     }
-    assert_eq!(world.store.asked(DAEMONS_READ), 0, "reads of the list");
+    assert_eq!(world.store.call_count(DAEMONS_READ), 0, "reads of the list");
     assert_eq!(listed(&world), DAEMONS);
 }
 
@@ -55,7 +55,7 @@
     sleep(1_000).await;
     assert_eq!(ask(&world, 5, read("again")).await.status, 200);
     knows(&world, 5, DAEMONS - 1).await;
-    assert_eq!(world.store.asked(DAEMONS_READ), 1, "reads of the list");
+    assert_eq!(world.store.call_count(DAEMONS_READ), 1, "reads of the list");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -70,7 +70,7 @@
     sleep(4_500).await;
     assert_eq!(ask(&world, 6, read("alone")).await.status, 200);
     knows(&world, 6, DAEMONS - 3).await;
-    let reads = world.store.asked(DAEMONS_READ);
+    let reads = world.store.call_count(DAEMONS_READ);
     assert!(reads <= 2, "{reads} reads of the list");
     assert_eq!(listed(&world), DAEMONS);
 }
--- a/crates/thistlesill-edge/tests/it/silence.rs
+++ b/crates/thistlesill-edge/tests/it/silence.rs
@@ -21,8 +21,8 @@
 use std::time::{Duration, Instant};
 
 use futures_util::future::join_all;
-use thistlesill_platform_standin::link::{Harm, Link};
-use thistlesill_platform_standin::store::TARGETS_QUESTION;
+use thistlesill_platform_standin::link::{Link, LinkFault};
+use thistlesill_platform_standin::store::TARGETS_FEED;
 use thistlesill_platform_standin::world::World;
 
 use crate::support::{ask, planner, read, readers, sleep, world};
@@ -34,7 +34,7 @@
 async fn a_target_that_leaves_is_known_though_the_question_about_targets_fell_silent() {
     let world = world(51, 4).await;
     sleep(2_500).await;
-    hush_all(&world.links, TARGETS_QUESTION);
+    hush_all(&world.links, TARGETS_FEED);
     world.targets.leave(LEAVES);
     sleep(2_000).await;
     assert_unused(&world, LEAVES, 0..4).await;
@@ -58,9 +58,9 @@
     assert!(!readers.is_empty() && readers.len() < 4, "{readers:?}");
     for (daemon, link) in world.links.iter().enumerate() {
         if readers.contains(&daemon) {
-            link.set(Harm::Silent);
+            link.set_fault(LinkFault::Stalled);
         } else {
-            link.hush("");
+            link.stall_connections("");
         }
     }
     world.set_catalog(9, &["k1"]);
@@ -77,7 +77,7 @@
     let world = world(54, 4).await;
     sleep(2_500).await;
     let planner = planner(&world);
-    world.links[planner].set(Harm::Silent);
+    world.links[planner].set_fault(LinkFault::Stalled);
     world.targets.leave(LEAVES);
     // Half a second less than the settings allow.
     sleep(1_500).await;
@@ -96,7 +96,7 @@
     hush_all(&world.links, "");
     // The questions have failed by now, and new ones were answered.
     sleep(1_500).await;
-    world.targets.vanish(LEAVES);
+    world.targets.unlist(LEAVES);
     sleep(1_200).await;
     assert_unused(&world, LEAVES, 0..4).await;
 }
@@ -136,13 +136,13 @@
     let others = (0..4).filter(|daemon| !readers.contains(daemon));
     let others: Vec<usize> = others.collect();
     for daemon in &others {
-        world.links[*daemon].set(Harm::Silent);
+        world.links[*daemon].set_fault(LinkFault::Stalled);
     }
     world.set_catalog(9, &["k1"]);
     // Two questions fail, and a pause begins.
     sleep(2_600).await;
     for daemon in &others {
-        world.links[*daemon].set(Harm::None);
+        world.links[*daemon].set_fault(LinkFault::None);
     }
     sleep(1_400).await;
     for daemon in others {
@@ -154,7 +154,7 @@
 /// Silences the open connections of all links whose last request holds `text`.
 fn hush_all(links: &[Link], text: &str) {
     for link in links {
-        link.hush(text);
+        link.stall_connections(text);
     }
 }
 
--- a/crates/thistlesill-edge/tests/it/starts.rs
+++ b/crates/thistlesill-edge/tests/it/starts.rs
@@ -54,8 +54,8 @@
     list_many(&world);
     sleep(2_500).await;
     let (targets, catalogs) = (
-        world.store.asked(TARGETS_READ),
-        world.store.asked(CATALOG_READ),
+        world.store.call_count(TARGETS_READ),
+        world.store.call_count(CATALOG_READ),
     );
     start_all_anew(&mut world).await;
     world
@@ -63,13 +63,13 @@
         .await;
     sleep(1_500).await;
     // Two of each data centre, and whoever finds one of them slow.
-    let reads = world.store.asked(TARGETS_READ) - targets;
+    let reads = world.store.call_count(TARGETS_READ) - targets;
     assert!(reads <= 5 * PAGES, "{reads} pages of targets");
-    let reads = world.store.asked(CATALOG_READ) - catalogs;
+    let reads = world.store.call_count(CATALOG_READ) - catalogs;
     assert!(reads <= 8, "{reads} reads of the catalog");
     // All know the whole list, whoever they have it from.
     for daemon in 0..DAEMONS {
-        let source = world.lines(daemon, "ev=start_source");
+        let source = world.log_lines(daemon, "ev=start_source");
         assert_eq!(source.len(), 2, "{source:?}");
     }
 }
@@ -80,10 +80,10 @@
     list_many(&world);
     sleep(2_500).await;
     world.store.set_mode(Mode::Busy);
-    let before = world.store.asked("");
+    let before = world.store.call_count("");
     start_all_anew(&mut world).await;
     sleep(4_000).await;
-    let calls = world.store.asked("") - before;
+    let calls = world.store.call_count("") - before;
     // Ten a second are for the two that read for others in each data centre.
     assert!(calls <= 240, "{calls} calls in 4 s");
     world.store.set_mode(Mode::Up);
--- a/crates/thistlesill-edge/tests/it/stops.rs
+++ b/crates/thistlesill-edge/tests/it/stops.rs
@@ -3,30 +3,30 @@
 use std::time::Duration;
 
 use nix::sys::signal::Signal;
-use thistlesill_platform_standin::caller::{Ask, call};
-use thistlesill_platform_standin::link::Harm;
+use thistlesill_platform_standin::caller::{CallerRequest, call};
+use thistlesill_platform_standin::link::LinkFault;
 
 use crate::support::{ask, book, read, sleep, stream, world};
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_planned_stop_ends_what_runs_and_then_the_process() {
     let mut world = world(31, 1).await;
-    let address = world.daemons[0].callers();
+    let address = world.daemons[0].caller_address();
     let running = tokio::spawn(async move { call(address, &stream("running")).await });
     sleep(60).await;
     world.daemons[0].signal(Signal::SIGTERM);
     sleep(50).await;
-    let health = Ask::new("health", "GET", "/api/ready");
-    let got = call(world.daemons[0].health(), &health)
+    let health = CallerRequest::new("health", "GET", "/api/ready");
+    let got = call(world.daemons[0].health_address(), &health)
         .await
         .expect("it still answers");
     assert_eq!(got.status, 503);
     // The balancer has not noticed yet: a caller still gets an answer.
     assert_eq!(ask(&world, 0, book("late")).await.status, 200);
     let got = running.await.expect("the task ends").expect("an answer");
-    assert!(got.whole, "the stream was cut off");
-    world.daemons[0].ended().await;
-    assert!(!world.lines(0, "ev=stop ").is_empty());
+    assert!(got.is_complete, "the stream was cut off");
+    world.daemons[0].wait().await;
+    assert!(!world.log_lines(0, "ev=stop ").is_empty());
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -34,9 +34,9 @@
     let world = world(36, 1).await;
     // A request whose target says nothing keeps the process for its time.
     for link in &world.targets.links[8..] {
-        link.set(Harm::Silent);
+        link.set_fault(LinkFault::Stalled);
     }
-    let address = world.daemons[0].callers();
+    let address = world.daemons[0].caller_address();
     let held = tokio::spawn(async move { call(address, &book("held")).await });
     sleep(50).await;
     world.daemons[0].signal(Signal::SIGTERM);
@@ -53,9 +53,9 @@
     let mut world = world(34, 1).await;
     world.daemons[0].kill().await;
     // The first reads of the store end after the first requests have come.
-    world.links[0].set(Harm::Delay(Duration::from_millis(15)));
+    world.links[0].set_fault(LinkFault::Delay(Duration::from_millis(15)));
     world.daemons[0].start();
-    let address = world.daemons[0].callers();
+    let address = world.daemons[0].caller_address();
     let first = loop {
         if let Ok(got) = call(address, &stream("first")).await {
             break got;
@@ -66,7 +66,7 @@
         first.status, 200,
         "a caller that came at once was turned away"
     );
-    assert!(first.whole);
+    assert!(first.is_complete);
     assert_eq!(ask(&world, 0, read("second")).await.status, 200);
 }
 
@@ -81,8 +81,10 @@
     }
     sleep(450).await;
     for daemon in &world.daemons {
-        let metrics = Ask::new("metrics", "GET", "/metrics");
-        let got = call(daemon.metrics(), &metrics).await.expect("metrics");
+        let metrics = CallerRequest::new("metrics", "GET", "/metrics");
+        let got = call(daemon.metrics_address(), &metrics)
+            .await
+            .expect("metrics");
         let sent = got
             .body
             .lines()
@@ -98,13 +100,13 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn another_daemon_forms_groups_when_the_one_that_did_is_killed() {
     let mut world = world(32, 3).await;
-    let holder = (0..3).find(|d| !world.lines(*d, "ev=lease_gained").is_empty());
+    let holder = (0..3).find(|d| !world.log_lines(*d, "ev=lease_gained").is_empty());
     let holder = holder.expect("one daemon holds the lease");
     world.daemons[holder].kill().await;
     sleep(4_000).await;
     let others = (0..3).filter(|d| *d != holder);
     let gained: Vec<_> = others
-        .flat_map(|d| world.lines(d, "ev=lease_gained"))
+        .flat_map(|d| world.log_lines(d, "ev=lease_gained"))
         .collect();
     assert_eq!(gained.len(), 1, "{gained:?}");
     assert!(gained[0].contains("term=2"));
@@ -112,9 +114,9 @@
     world.targets.kill(&members[1]);
     sleep(4_000).await;
     assert!(
-        world.targets.breaches().is_empty(),
+        world.targets.violations().is_empty(),
         "{:?}",
-        world.targets.breaches()
+        world.targets.violations()
     );
 }
 
@@ -122,18 +124,18 @@
 async fn the_lease_goes_to_a_daemon_that_reaches_the_store() {
     let world = world(37, 4).await;
     sleep(2_500).await;
-    let holder = (0..4).find(|d| !world.lines(*d, "ev=lease_gained").is_empty());
+    let holder = (0..4).find(|d| !world.log_lines(*d, "ev=lease_gained").is_empty());
     // The daemons that come first in their data centres, and the holder; all
     // of them go on talking to the others.
     let mut cut = vec![0, 1];
     cut.extend(holder.filter(|h| *h > 1));
     for daemon in &cut {
-        world.links[*daemon].set(Harm::Silent);
+        world.links[*daemon].set_fault(LinkFault::Stalled);
     }
     sleep(4_800).await;
     let others = (0..4).filter(|d| !cut.contains(d));
     let gained: usize = others
-        .map(|d| world.lines(d, "ev=lease_gained").len())
+        .map(|d| world.log_lines(d, "ev=lease_gained").len())
         .sum();
     assert_eq!(gained, 1, "held by {holder:?} before");
 }
@@ -141,16 +143,16 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_planner_that_is_stopped_gives_its_lease_up() {
     let world = world(38, 3).await;
-    let holder = (0..3).find(|d| !world.lines(*d, "ev=lease_gained").is_empty());
+    let holder = (0..3).find(|d| !world.log_lines(*d, "ev=lease_gained").is_empty());
     let holder = holder.expect("one daemon holds the lease");
     world.daemons[holder].signal(Signal::SIGTERM);
     sleep(3_900).await;
     let others = (0..3).filter(|d| *d != holder);
     let gained: usize = others
-        .map(|d| world.lines(d, "ev=lease_gained").len())
+        .map(|d| world.log_lines(d, "ev=lease_gained").len())
         .sum();
     assert_eq!(gained, 1);
-    assert!(!world.lines(holder, "ev=lease_given_up").is_empty());
+    assert!(!world.log_lines(holder, "ev=lease_given_up").is_empty());
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -160,17 +162,17 @@
     sleep(300).await;
     assert!(
         world
-            .lines(0, "ev=reload")
+            .log_lines(0, "ev=reload")
             .iter()
             .any(|l| l.contains("taken"))
     );
-    let file = world.daemons[0].log().with_extension("json");
+    let file = world.daemons[0].log_path().with_extension("json");
     std::fs::write(file, "{").expect("the file can be written");
     world.daemons[0].signal(Signal::SIGHUP);
     sleep(300).await;
     assert!(
         world
-            .lines(0, "ev=reload")
+            .log_lines(0, "ev=reload")
             .iter()
             .any(|l| l.contains("line 1"))
     );
--- a/crates/thistlesill-edge/tests/it/streams.rs
+++ b/crates/thistlesill-edge/tests/it/streams.rs
@@ -25,7 +25,7 @@
         let id = format!("cut-{i}");
         let got = ask(&world, 0, stream(&id).model("small")).await;
         let runs = world.targets.ledger.runs(&id);
-        if got.whole {
+        if got.is_complete {
             assert_eq!(got.events(), all(), "{}", got.body);
             resumed += usize::from(runs.len() > 1);
         }
@@ -46,9 +46,11 @@
         .iter()
         .find(|(_, m)| m.len() == 4)
         .expect("a large group");
-    world.targets.set_fault(large.as_str(), Fault::Hesitate);
+    world
+        .targets
+        .set_fault(large.as_str(), Fault::MidEventPause);
     let got = ask(&world, 0, stream("pause")).await;
-    assert!(got.whole);
+    assert!(got.is_complete);
     assert_eq!(got.events(), all(), "{}", got.body);
     let pieces = got.body.matches("data: pause:").count();
     assert_eq!(pieces, all().len(), "{}", got.body);
@@ -68,7 +70,7 @@
     for (leader, _) in world.targets.serving() {
         world.targets.set_fault(leader.as_str(), Fault::SlowStart);
     }
-    let address = world.daemons[0].callers();
+    let address = world.daemons[0].caller_address();
     let asked: Vec<_> = (0..16)
         .map(|i| {
             let stream = stream(&format!("late-{i}")).model("small");
@@ -85,7 +87,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_that_its_caller_takes_up_again_gives_way_to_others() {
     let world = world(24, 1).await;
-    let address = world.daemons[0].callers();
+    let address = world.daemons[0].caller_address();
     // Most of the places of the one large group.
     let others: Vec<_> = (0..20)
         .map(|i| {
@@ -95,7 +97,7 @@
         .collect();
     sleep(40).await;
     let begun = Instant::now();
-    let got = ask(&world, 0, stream("again").after(3)).await;
+    let got = ask(&world, 0, stream("again").resume_after(3)).await;
     let took = begun.elapsed();
     assert_eq!(got.events(), all()[3..]);
     assert!(
@@ -104,7 +106,7 @@
     );
     for other in others {
         let got = other.await.expect("the task ends").expect("an answer");
-        assert!(got.whole);
+        assert!(got.is_complete);
     }
 }
 
@@ -120,7 +122,7 @@
     let until = tokio::time::Instant::now() + std::time::Duration::from_secs(12);
     loop {
         let again = ask(&world, 0, stream("again")).await;
-        if again.status == 200 && again.whole {
+        if again.status == 200 && again.is_complete {
             assert_eq!(again.events(), all());
             break;
         }
@@ -133,11 +135,11 @@
     let after = world.targets.serving();
     assert!(after.iter().all(|(_, m)| !m.contains(&members[1])));
     assert!(
-        world.targets.breaches().is_empty(),
+        world.targets.violations().is_empty(),
         "{:?}",
-        world.targets.breaches()
+        world.targets.violations()
     );
-    let told = (0..2).flat_map(|d| world.lines(d, "ev=order"));
+    let told = (0..2).flat_map(|d| world.log_lines(d, "ev=order"));
     assert!(
         told.into_iter()
             .any(|l| l.contains("order=cut") && l.contains(leader.as_str()))
@@ -150,9 +152,9 @@
     let mut gone = stream("gone");
     gone.deadline = std::time::Duration::from_millis(60);
     let got = ask(&world, 0, gone).await;
-    assert!(!got.whole);
+    assert!(!got.is_complete);
     sleep(300).await;
-    let ends = world.lines(0, "id=gone");
+    let ends = world.log_lines(0, "id=gone");
     assert!(
         ends.iter()
             .any(|l| l.contains("outcome=caller_left") || l.contains("late")),
--- a/crates/thistlesill-edge/tests/it/support.rs
+++ b/crates/thistlesill-edge/tests/it/support.rs
@@ -5,7 +5,7 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
 
-use thistlesill_platform_standin::caller::{Ask, Got, call};
+use thistlesill_platform_standin::caller::{CallerAnswer, CallerRequest, call};
 use thistlesill_platform_standin::world::World;
 
 /// Starts a deployment; `net` keeps the tests' addresses apart.
@@ -45,24 +45,24 @@
 }
 
 /// Sends a request to a daemon that must answer.
-pub(crate) async fn ask(world: &World, daemon: usize, ask: Ask) -> Got {
-    let got = call(world.daemons[daemon].callers(), &ask).await;
+pub(crate) async fn ask(world: &World, daemon: usize, ask: CallerRequest) -> CallerAnswer {
+    let got = call(world.daemons[daemon].caller_address(), &ask).await;
     got.unwrap_or_else(|e| panic!("{}: {e}", ask.id))
 }
 
 /// A request that may run only once.
-pub(crate) fn book(id: &str) -> Ask {
-    Ask::new(id, "POST", "/book/bunk").body("two bunks")
+pub(crate) fn book(id: &str) -> CallerRequest {
+    CallerRequest::new(id, "POST", "/book/bunk").body("two bunks")
 }
 
 /// A request that may run more than once.
-pub(crate) fn read(id: &str) -> Ask {
-    Ask::new(id, "GET", "/read/x?a=1&b=%2F")
+pub(crate) fn read(id: &str) -> CallerRequest {
+    CallerRequest::new(id, "GET", "/read/x?a=1&b=%2F")
 }
 
 /// A stream of the large model.
-pub(crate) fn stream(id: &str) -> Ask {
-    Ask::new(id, "POST", "/large/s")
+pub(crate) fn stream(id: &str) -> CallerRequest {
+    CallerRequest::new(id, "POST", "/large/s")
         .model("large")
         .body("prompt")
 }
@@ -74,7 +74,7 @@
 /// The daemons that read the store for others, by their last lines.
 pub(crate) fn readers(world: &World) -> Vec<usize> {
     let reads = |daemon: &usize| {
-        let lines = world.lines(*daemon, "ev=store_reader");
+        let lines = world.log_lines(*daemon, "ev=store_reader");
         lines.last().is_some_and(|l| l.contains("reads=true"))
     };
     (0..world.daemons.len()).filter(reads).collect()
@@ -82,7 +82,7 @@
 
 /// The daemon that forms groups, by its lines.
 pub(crate) fn planner(world: &World) -> usize {
-    let plans = |daemon: &usize| !world.lines(*daemon, "ev=lease_gained").is_empty();
+    let plans = |daemon: &usize| !world.log_lines(*daemon, "ev=lease_gained").is_empty();
     let mut planners = (0..world.daemons.len()).filter(plans);
     planners.next().expect("a daemon forms groups")
 }
--- a/crates/thistlesill-edge/tests/it/writers.rs
+++ b/crates/thistlesill-edge/tests/it/writers.rs
@@ -27,7 +27,7 @@
     let store = &world.store;
     store.put_bytes("servers", "x-bytes", b"\xff\xfe\x00");
     store.put_bytes("servers", "x-empty", b"");
-    store.spoil("servers", "x-spoilt");
+    store.put_corrupt("servers", "x-spoilt");
     store.put(
         "servers",
         "x-fields",
@@ -65,7 +65,7 @@
     }
     sleep(1_500).await;
     assert_all_serve(&world, "started").await;
-    let refused = world.lines(1, "ev=target_refused");
+    let refused = world.log_lines(1, "ev=target_refused");
     assert!(refused.len() >= 6, "{refused:?}");
     assert!(refused.iter().all(|line| line.len() < 400), "{refused:?}");
 }
@@ -73,7 +73,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_entry_that_turned_into_garbage_takes_its_target_out_on_every_daemon() {
     let mut world = world(72, DAEMONS as u8).await;
-    world.targets.leave_entry("p-0");
+    world.targets.release_entry("p-0");
     world.store.put_bytes("servers", "p-0", b"{\"service\":");
     sleep(1_000).await;
     // One has read the changes, the others heard of them; one reads all anew.
@@ -95,7 +95,7 @@
 async fn a_lease_that_another_writer_spoilt_is_taken_again() {
     let world = world(73, DAEMONS as u8).await;
     let before: usize = (0..DAEMONS)
-        .map(|d| world.lines(d, "ev=lease_gained").len())
+        .map(|d| world.log_lines(d, "ev=lease_gained").len())
         .sum();
     assert!(before > 0, "somebody forms groups");
     for _ in 0..4 {
@@ -133,11 +133,11 @@
         assert_all_serve(&world, &format!("round-{round}")).await;
     }
     assert!(
-        world.targets.breaches().is_empty(),
+        world.targets.violations().is_empty(),
         "{:?}",
-        world.targets.breaches()
+        world.targets.violations()
     );
-    let noticed = (0..DAEMONS).all(|d| !world.lines(d, "ev=target_restarted").is_empty());
+    let noticed = (0..DAEMONS).all(|d| !world.log_lines(d, "ev=target_restarted").is_empty());
     assert!(noticed, "all daemons know of the starts");
 }
 
@@ -147,7 +147,7 @@
     let mut world = world(78, DAEMONS as u8).await;
     let mut rng = SmallRng::seed_from_u64(78);
     let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a socket");
-    let peers = world.daemons[0].peers();
+    let peers = world.daemons[0].peer_address();
     for round in 0..4_000_u32 {
         // The first byte names a kind of message; all kinds come.
         let length = rng.random_range(0..300);
@@ -168,6 +168,6 @@
         kept.push(stream);
     }
     sleep(500).await;
-    assert!(world.daemons[0].runs(), "the daemon ended");
+    assert!(world.daemons[0].is_running(), "the daemon ended");
     assert_all_serve(&world, "told").await;
 }
