--- a/crates/thistlesill-edge/src/daemon.rs
+++ b/crates/thistlesill-edge/src/daemon.rs
@@ -344,7 +344,7 @@
 fn handle_suspension(edge: &Edge) {
     if let Some(time) = edge.alarm.look() {
         edge.lanes.close_all_idle();
-        edge.store.drop_idle();
+        edge.store.close_idle();
         let line = edge.lines.line("suspended").with("for_ms", time.get());
         line.with("active", edge.active.get()).write();
     }
--- a/crates/thistlesill-edge/src/job.rs
+++ b/crates/thistlesill-edge/src/job.rs
@@ -55,7 +55,7 @@
     pub(crate) fn new(edge: Rc<Edge>, admission: Admission, arrival: Arrival) -> Self {
         Self {
             due: arrival.at + admission.timeout,
-            headers: caller::forwarded(&arrival.parts.headers),
+            headers: caller::forwarded_headers(&arrival.parts.headers),
             edge,
             admission,
             head: arrival.head,
@@ -88,7 +88,7 @@
 
     /// Returns the number of prompt tokens, or 0 if it is not known.
     pub(crate) fn prompt(&self) -> u32 {
-        let tokens = self.head.prompt.unwrap_or(0);
+        let tokens = self.head.prompt_tokens.unwrap_or(0);
         u32::try_from(tokens).unwrap_or(u32::MAX)
     }
 
@@ -102,7 +102,7 @@
             engine,
             model,
             prompt: self.prompt(),
-            answer: self.head.hint.or(self.head.answer),
+            answer: self.head.length_hint.or(self.head.max_answer_tokens),
             refused,
         };
         let now = self.edge.now();
@@ -172,11 +172,11 @@
         let head = TargetHead {
             customer: customer.map(thistlesill_core::CustomerId::as_str),
             target: &target.id,
-            left: self.time_left(),
+            remaining: self.time_left(),
             priority: self.admission.priority,
             last_event,
         };
-        caller::address(&mut headers, &head);
+        caller::set_target_headers(&mut headers, &head);
         *request.headers_mut() = headers;
         request
     }
--- a/crates/thistlesill-edge/src/limits.rs
+++ b/crates/thistlesill-edge/src/limits.rs
@@ -92,12 +92,12 @@
 /// Records the limit that a target's answer names; the request was sent at `sent`.
 pub(crate) fn note_answer(job: &Job, target: &Target, info: &AnswerHead, sent: Millis) {
     let edge = &job.edge;
-    if info.rate == LimitHeader::Foreign {
+    if info.rate_limit == LimitHeader::Foreign {
         return;
     }
-    log_unreadable(job, target, &info.rate);
+    log_unreadable(job, target, &info.rate_limit);
     let report = LimitReport {
-        limit: info.rate.limit(),
+        limit: info.rate_limit.limit(),
         from: sent,
         until: edge.now(),
     };
--- a/crates/thistlesill-edge/src/proxy.rs
+++ b/crates/thistlesill-edge/src/proxy.rs
@@ -313,9 +313,9 @@
         quarantine::note_success(job);
     }
     if !info.closing {
-        job.return_lane(&target.id, lane, info.keep);
+        job.return_lane(&target.id, lane, info.keep_alive);
     }
-    caller::remove_hop(&mut headers);
+    caller::remove_hop_by_hop(&mut headers);
     track.ended(status.as_u16(), Some(&target.id), body.len());
     Ok(reply::complete(status, headers, body))
 }
--- a/crates/thistlesill-edge/src/relay/passing.rs
+++ b/crates/thistlesill-edge/src/relay/passing.rs
@@ -27,7 +27,7 @@
 pub(crate) fn forward(job: Rc<Job>, answered: Answered, track: &mut Track) -> Response<OutBody> {
     let status = answered.status;
     let mut headers = answered.headers.clone();
-    caller::remove_hop(&mut headers);
+    caller::remove_hop_by_hop(&mut headers);
     let forwarding = Forwarding {
         track: track.split(&job.edge),
         source: Source::new(answered),
--- a/crates/thistlesill-edge/tests/it/limits.rs
+++ b/crates/thistlesill-edge/tests/it/limits.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 use nix::sys::signal::Signal;
-use thistlesill_platform_standin::caller::{Ask, Got, call};
+use thistlesill_platform_standin::caller::{CallerAnswer, CallerRequest, call};
 use thistlesill_platform_standin::daemon::Daemon;
 use thistlesill_platform_standin::targets::Fault;
 use thistlesill_platform_standin::world::World;
@@ -29,16 +29,16 @@
 const IMMEDIATE: Duration = Duration::from_millis(100);
 
 /// An answer and its latency.
-type Timed = (Got, Duration);
+type Timed = (CallerAnswer, Duration);
 
 /// Sends requests at a steady rate through all daemons in turn; returns the answers.
 async fn send_steadily(
     world: &World,
     per_second: u32,
     time: Duration,
-    ask: fn(&str) -> Ask,
+    ask: fn(&str) -> CallerRequest,
 ) -> Vec<Timed> {
-    let addresses: Vec<SocketAddr> = world.daemons.iter().map(Daemon::callers).collect();
+    let addresses: Vec<SocketAddr> = world.daemons.iter().map(Daemon::caller_address).collect();
     send_steadily_to(&addresses, per_second, time, ask).await
 }
 
@@ -46,7 +46,7 @@
     addresses: &[SocketAddr],
     per_second: u32,
     time: Duration,
-    ask: fn(&str) -> Ask,
+    ask: fn(&str) -> CallerRequest,
 ) -> Vec<Timed> {
     let start = Instant::now();
     let mut calls = Vec::new();
@@ -73,7 +73,10 @@
 
 /// Returns the maximum number of runs that began at a target within one window after `since`.
 fn most_in_window(world: &World, target: &str, since: Instant) -> usize {
-    world.targets.ledger.most_at(target, since, WINDOW)
+    world
+        .targets
+        .ledger
+        .max_starts_within(target, since, WINDOW)
 }
 
 /// Returns the maximum number of runs that a limit allows within one window, rounded up.
@@ -90,7 +93,8 @@
     let begun: Vec<String> = after
         .map(|time| format!("{} ms", time.as_millis()))
         .collect();
-    let lines = (0..world.daemons.len()).flat_map(|daemon| world.lines(daemon, "ev=limit_sent"));
+    let lines =
+        (0..world.daemons.len()).flat_map(|daemon| world.log_lines(daemon, "ev=limit_sent"));
     let mut lines: Vec<String> = lines.filter(|line| line.contains(target)).collect();
     lines.sort_unstable();
     format!("begun at {}\n{}", begun.join(", "), lines.join("\n"))
@@ -111,7 +115,7 @@
 async fn all_daemons_together_keep_to_a_limit() {
     let world = world(91, 6).await;
     send_steadily(&world, 30, Duration::from_secs(2), read).await;
-    world.targets.name_limit("p-0", Some("1.5"));
+    world.targets.set_limit("p-0", Some("1.5"));
     let named = Instant::now();
     let all = send_steadily(&world, 30, Duration::from_secs(9), read).await;
     let most = most_in_window(&world, "p-0", named + PROPAGATION_TIME);
@@ -129,7 +133,7 @@
     let world = world(92, 4).await;
     sleep(1_500).await;
     let leader = large_leader(&world);
-    world.targets.name_limit(&leader, Some("2"));
+    world.targets.set_limit(&leader, Some("2"));
     let named = Instant::now();
     let all = send_steadily(&world, 12, Duration::from_secs(9), stream).await;
     let most = most_in_window(&world, &leader, named + PROPAGATION_TIME);
@@ -150,9 +154,9 @@
 async fn a_limit_holds_while_daemons_are_killed_frozen_and_stopped() {
     let mut world = world(93, 6).await;
     send_steadily(&world, 30, Duration::from_secs(2), read).await;
-    world.targets.name_limit("p-0", Some("1.5"));
+    world.targets.set_limit("p-0", Some("1.5"));
     let named = Instant::now();
-    let addresses: Vec<SocketAddr> = world.daemons.iter().map(Daemon::callers).collect();
+    let addresses: Vec<SocketAddr> = world.daemons.iter().map(Daemon::caller_address).collect();
     let calls = tokio::spawn(async move {
         send_steadily_to(&addresses, 30, Duration::from_secs(18), read).await;
     });
@@ -169,7 +173,7 @@
         world.daemons[daemon].signal(Signal::SIGCONT);
     }
     world.daemons[2].signal(Signal::SIGTERM);
-    world.daemons[2].ended().await;
+    world.daemons[2].wait().await;
     world.daemons[2].start();
     calls.await.expect("the task ends");
     let most = most_in_window(&world, "p-0", named + PROPAGATION_TIME);
@@ -201,13 +205,13 @@
     sleep(1_500).await;
     let time = Duration::from_secs(4);
     for (limit, least, most) in [("2", 5, 8), ("6", 14, 24), ("1", 2, 4)] {
-        world.targets.name_limit("p-0", Some(limit));
+        world.targets.set_limit("p-0", Some(limit));
         // The next answer names the limit; at least one request is granted in two seconds.
         send_steadily(&world, 20, Duration::from_millis(2_500), read).await;
         let runs = runs_within(&world, "p-0", time).await;
         assert!((least..=most).contains(&runs), "{limit} a second: {runs}");
     }
-    world.targets.name_limit("p-0", None);
+    world.targets.set_limit("p-0", None);
     send_steadily(&world, 20, Duration::from_millis(2_500), read).await;
     let runs = runs_within(&world, "p-0", time).await;
     assert!(runs >= 75, "lifted: {runs} of 80");
@@ -217,7 +221,7 @@
 async fn another_life_of_a_target_is_not_held_to_the_limit_of_the_one_before() {
     let world = world(95, 4).await;
     world.targets.leave("p-1");
-    world.targets.name_limit("p-0", Some("0.5"));
+    world.targets.set_limit("p-0", Some("0.5"));
     send_steadily(&world, 20, Duration::from_secs(3), read).await;
     world.targets.restart("p-0");
     sleep(1_000).await;
@@ -237,11 +241,11 @@
     let most = world
         .targets
         .ledger
-        .most_at("p-0", since, Duration::from_secs(1));
+        .max_starts_within("p-0", since, Duration::from_secs(1));
     assert!(most <= WARMUP_BOUND, "{most} requests in a second");
     assert!(most >= 5, "only {most} requests in a second");
     sleep(1_000).await;
-    let limited = || (0..6).map(|daemon| world.lines(daemon, "ev=limit_sent").len());
+    let limited = || (0..6).map(|daemon| world.log_lines(daemon, "ev=limit_sent").len());
     let before: usize = limited().sum();
     runs_within(&world, "p-0", Duration::from_secs(2)).await;
     sleep(300).await;
@@ -257,7 +261,7 @@
     let world = world(96, 4).await;
     send_steadily(&world, 20, Duration::from_secs(1), read).await;
     world.targets.set_fault("p-1", Fault::LoseAnswers);
-    world.targets.name_limit("p-0", Some("2.5"));
+    world.targets.set_limit("p-0", Some("2.5"));
     let named = Instant::now();
     send_steadily(&world, 30, Duration::from_secs(8), read).await;
     let most = most_in_window(&world, "p-0", named + PROPAGATION_TIME);
@@ -272,10 +276,10 @@
     let world = world(97, 2).await;
     world.targets.leave("p-1");
     sleep(1_500).await;
-    world.targets.name_limit("p-0", Some("-1"));
+    world.targets.set_limit("p-0", Some("-1"));
     let runs = runs_within(&world, "p-0", Duration::from_secs(2)).await;
     assert!(runs >= 36, "{runs} of 40");
     sleep(300).await;
-    let lines = world.lines(0, "ev=limit_unreadable");
+    let lines = world.log_lines(0, "ev=limit_unreadable");
     assert!(lines.iter().any(|l| l.contains("text=-1")), "{lines:?}");
 }
