--- a/crates/thistlesill-edge/src/quarantine.rs
+++ b/crates/thistlesill-edge/src/quarantine.rs
@@ -132,7 +132,7 @@
     }
 }
 
-/// Ends the trial of a request that has ended, if the request was one.
+/// Ends the trial of a finished request that was on trial.
 pub(crate) fn end_trial(job: &Job) {
     if !job.trial.get() {
         return;
