--- a/crates/thistlesill-fakes/src/engines.rs
+++ b/crates/thistlesill-fakes/src/engines.rs
@@ -16,27 +16,27 @@
 
 /// How long the engines take.
 #[derive(Debug, Clone, Copy)]
-pub struct Times {
+pub struct EngineTimes {
     /// A load from afar.
     pub load: Millis,
     /// A load from the host.
-    pub warm: Millis,
+    pub staged_load: Millis,
     /// A join with the weights of the last group.
-    pub same: Millis,
+    pub reuse: Millis,
     /// Until a leader that lost a member is broken.
-    pub stall: Millis,
+    pub stall_timeout: Millis,
     /// From the order to open to the first request.
-    pub form: Millis,
+    pub open: Millis,
 }
 
-impl Default for Times {
+impl Default for EngineTimes {
     fn default() -> Self {
         Self {
             load: Millis::new(16_000),
-            warm: Millis::new(1_600),
-            same: Millis::new(200),
-            stall: Millis::new(5_000),
-            form: Millis::new(300),
+            staged_load: Millis::new(1_600),
+            reuse: Millis::new(200),
+            stall_timeout: Millis::new(5_000),
+            open: Millis::new(300),
         }
     }
 }
@@ -112,7 +112,7 @@
     /// Members that were ready, by group.
     ready: HashSet<(GroupRef, InstanceId)>,
     /// How long the engines take.
-    pub times: Times,
+    pub times: EngineTimes,
     /// Breaches of what must always hold.
     pub breaches: Vec<String>,
 }
@@ -157,7 +157,7 @@
     }
 
     /// Whether an engine leads a group that serves and has all its members.
-    pub fn runs(&self, id: &TargetId) -> bool {
+    pub fn leads_complete_group(&self, id: &TargetId) -> bool {
         let leads = self
             .all
             .get(id.instance())
@@ -166,14 +166,14 @@
     }
 
     /// Moves an engine to an address.
-    pub fn settle(&mut self, id: &TargetId, address: SocketAddr) {
+    pub fn set_address(&mut self, id: &TargetId, address: SocketAddr) {
         if let Some(engine) = self.all.get_mut(id.instance()) {
             engine.target.address = address;
         }
     }
 
     /// Has an engine tell another data centre as its own.
-    pub fn place_in(&mut self, id: &TargetId, hall: &str) {
+    pub fn set_hall(&mut self, id: &TargetId, hall: &str) {
         if let Some(engine) = self.all.get_mut(id.instance()) {
             engine.target.hall = hall.into();
         }
@@ -231,7 +231,7 @@
     }
 
     /// The present life of an engine.
-    pub fn life(&self, id: &TargetId) -> Option<TargetId> {
+    pub fn incarnation(&self, id: &TargetId) -> Option<TargetId> {
         self.all.get(id.instance()).map(|e| e.target.id.clone())
     }
 
@@ -291,7 +291,7 @@
             return;
         }
         let since = *engine.stalled.get_or_insert(now);
-        if now - since >= self.times.stall {
+        if now - since >= self.times.stall_timeout {
             member.state = MemberState::Broken;
         }
     }
@@ -386,9 +386,9 @@
             return OrderReply::Unknown;
         };
         let time = if engine.loaded.as_ref() == Some(model) {
-            self.times.same
+            self.times.reuse
         } else if engine.target.staged.contains(model) {
-            self.times.warm
+            self.times.staged_load
         } else {
             self.times.load
         };
@@ -434,7 +434,7 @@
         };
         match &engine.target.member {
             Some(m) if m.of == *group && m.rank == 0 && m.state == MemberState::Ready => {
-                engine.opening.get_or_insert(now + self.times.form);
+                engine.opening.get_or_insert(now + self.times.open);
                 OrderReply::Begun
             }
             Some(m) if m.of == *group && m.state == MemberState::Open => OrderReply::Held,
--- a/crates/thistlesill-fakes/src/fleet_file.rs
+++ b/crates/thistlesill-fakes/src/fleet_file.rs
@@ -94,7 +94,7 @@
 
 impl FleetFile {
     /// All instances, in the order of the file.
-    pub fn places(&self) -> Vec<ListedInstance> {
+    pub fn instances(&self) -> Vec<ListedInstance> {
         let mut places = Vec::new();
         let mut port = self.first_port;
         for hall in &self.halls {
--- a/crates/thistlesill-fakes/src/target.rs
+++ b/crates/thistlesill-fakes/src/target.rs
@@ -21,7 +21,7 @@
     /// Weights in memory.
     pub warm: Option<Load>,
     /// Whether it refuses stale orders.
-    pub checks: bool,
+    pub checks_orders: bool,
 }
 
 impl Target {
@@ -34,7 +34,7 @@
             fence: Fence::default(),
             leaving: false,
             warm: None,
-            checks,
+            checks_orders: checks,
         }
     }
 
@@ -50,11 +50,11 @@
     }
 
     /// Takes an order, or refuses it.
-    pub fn take(&mut self, order: &Order) -> OrderReply {
+    pub fn apply_order(&mut self, order: &Order) -> OrderReply {
         if order.instance != self.instance || order.incarnation != self.incarnation {
             return OrderReply::Stranger;
         }
-        if self.checks && order.fence < self.fence {
+        if self.checks_orders && order.fence < self.fence {
             return OrderReply::Stale;
         }
         self.fence = self.fence.max(order.fence);
@@ -74,7 +74,7 @@
     }
 
     /// Notes that the weights for a membership are loaded.
-    pub fn loaded(&mut self, membership: &Membership) {
+    pub fn finish_loading(&mut self, membership: &Membership) {
         self.warm = Some(membership.load.clone());
         if self.duty == Duty::Loading(membership.clone()) {
             self.duty = Duty::Ready(membership.clone());
@@ -82,7 +82,7 @@
     }
 
     /// Notes that weights are loaded for no group yet.
-    pub fn warmed(&mut self, load: Load) {
+    pub fn set_warm(&mut self, load: Load) {
         self.warm = Some(load);
     }
 
--- a/crates/thistlesill-policy/tests/edge/evacuated_groups.rs
+++ b/crates/thistlesill-policy/tests/edge/evacuated_groups.rs
@@ -23,7 +23,7 @@
     let evacuated_ids: Vec<TargetId> = evacuated_ids.map(|t| t.id.clone()).collect();
     assert!(!evacuated_ids.is_empty() && evacuated_ids.len() < listed.len());
     for id in &evacuated_ids {
-        sim.engines.place_in(id, HALL);
+        sim.engines.set_hall(id, HALL);
     }
     (sim, evacuated_ids)
 }
--- a/crates/thistlesill-policy/tests/edge/stage.rs
+++ b/crates/thistlesill-policy/tests/edge/stage.rs
@@ -158,7 +158,7 @@
                         false => ProbeOutcome::Unresponsive,
                     };
                     self.planner.record_probe(&target, outcome, self.now);
-                    if reached && self.engines.life(&target).as_ref() == Some(&target) {
+                    if reached && self.engines.incarnation(&target).as_ref() == Some(&target) {
                         let taken = self.engines.orders_taken(&target);
                         self.planner.record_orders_taken(&target, taken, self.now);
                     }
--- a/crates/thistlesill-replay/src/player.rs
+++ b/crates/thistlesill-replay/src/player.rs
@@ -67,7 +67,7 @@
         };
         let options = StageOptions {
             region: loaded.fleet.region.clone(),
-            places: loaded.fleet.places(),
+            places: loaded.fleet.instances(),
             tree: tree.clone(),
             planners: seats('p'),
             routers: seats('r'),
--- a/crates/thistlesill-replay/src/slopes.rs
+++ b/crates/thistlesill-replay/src/slopes.rs
@@ -6,7 +6,7 @@
 mod messages;
 mod settings;
 
-pub use fit::line;
+pub use fit::format_line;
 pub use fit::{Point, Slope};
 
 /// Measures all slopes and returns them as text.
@@ -14,15 +14,15 @@
     let mut out = String::new();
     out.push_str("processor time of the cores, per event\n");
     for slope in cores::slopes() {
-        out.push_str(&line(&slope));
+        out.push_str(&format_line(&slope));
     }
     out.push_str("\nbytes of messages\n");
     for slope in messages::slopes() {
-        out.push_str(&line(&slope));
+        out.push_str(&format_line(&slope));
     }
     out.push_str("\nsettings\n");
     for slope in settings::slopes() {
-        out.push_str(&line(&slope));
+        out.push_str(&format_line(&slope));
     }
     out
 }
--- a/crates/thistlesill-replay/src/slopes/fit.rs
+++ b/crates/thistlesill-replay/src/slopes/fit.rs
@@ -44,7 +44,7 @@
 }
 
 /// A slope as a line of text.
-pub fn line(slope: &Slope) -> String {
+pub fn format_line(slope: &Slope) -> String {
     let (base, each) = slope.fit();
     let mut out = format!("{:<34}", slope.name);
     for point in &slope.points {
--- a/crates/thistlesill-replay/src/stage/platform.rs
+++ b/crates/thistlesill-replay/src/stage/platform.rs
@@ -67,7 +67,7 @@
         let mut reply = None;
         if body.power == Power::On {
             let was = body.target.duty.membership().cloned();
-            reply = Some(body.target.take(order));
+            reply = Some(body.target.apply_order(order));
             if let Task::Join(m) = &order.task
                 && body.target.duty.membership() == Some(m)
                 && was.as_ref() != Some(m)
--- a/crates/thistlesill-replay/src/stage/time.rs
+++ b/crates/thistlesill-replay/src/stage/time.rs
@@ -49,11 +49,11 @@
         for body in self.bodies.values_mut().filter(|b| b.power == Power::On) {
             let done = body.loading.take_if(|(at, _)| *at <= self.now);
             if let Some((_, membership)) = done {
-                body.target.loaded(&membership);
+                body.target.finish_loading(&membership);
             }
             let warm = body.warming.take_if(|(at, _)| *at <= self.now);
             if let Some((_, load)) = warm {
-                body.target.warmed(load);
+                body.target.set_warm(load);
             }
         }
     }
--- a/crates/thistlesill-standins/src/bench.rs
+++ b/crates/thistlesill-standins/src/bench.rs
@@ -9,7 +9,7 @@
 use thistlesill_fakes::{DomainSpec, EngineOptions, FleetFile, HallSpec};
 use thistlesill_net::engine::{Engines, StreamAsk, StreamCall, StreamEvent};
 use thistlesill_policy::serving::{Server, ServerList};
-use thistlesill_replay::slopes::{Point, Slope, line};
+use thistlesill_replay::slopes::{Point, Slope, format_line};
 use thistlesill_standins::harness::{Deployment, Kind, Options};
 
 /// How long control is measured at each size.
@@ -116,7 +116,7 @@
         unit,
         points: points.collect(),
     };
-    print!("{}", line(&slope));
+    print!("{}", format_line(&slope));
 }
 
 async fn measure(deployment: &Deployment, role: Role) -> Use {
@@ -186,7 +186,7 @@
         unit: "us",
         points: cost,
     };
-    print!("{}", line(&slope));
+    print!("{}", format_line(&slope));
     memory(&deployment).await;
 }
 
@@ -230,7 +230,7 @@
         unit: "KB",
         points,
     };
-    print!("{}", line(&slope));
+    print!("{}", format_line(&slope));
 }
 
 /// A run of the data path.
--- a/crates/thistlesill-standins/src/engine/handlers.rs
+++ b/crates/thistlesill-standins/src/engine/handlers.rs
@@ -128,7 +128,7 @@
         res.status_code(StatusCode::FORBIDDEN);
         return;
     };
-    let reply = engine.state().target.take(&order);
+    let reply = engine.state().target.apply_order(&order);
     if reply == OrderReply::Stale {
         engine.counts().refused_orders += 1;
     }
@@ -149,14 +149,14 @@
         engine.load_weights().await;
     }
     if engine.powered().await {
-        engine.state().target.loaded(&membership);
+        engine.state().target.finish_loading(&membership);
     }
 }
 
 async fn warm(engine: Arc<Engine>, load: Load) {
     engine.load_weights().await;
     if engine.powered().await {
-        engine.state().target.warmed(load);
+        engine.state().target.set_warm(load);
     }
 }
 
--- a/crates/thistlesill-standins/src/fleet.rs
+++ b/crates/thistlesill-standins/src/fleet.rs
@@ -37,7 +37,7 @@
             registry: Arc::new(Mutex::new(HashMap::new())),
             counts: Arc::new(Mutex::new(Counts::default())),
         };
-        let places = file.places();
+        let places = file.instances();
         let mut engines = HashMap::new();
         for place in &places {
             let engine = Engine::new(
