--- a/crates/thistlesill-fakes/src/engines.rs
+++ b/crates/thistlesill-fakes/src/engines.rs
@@ -1,9 +1,9 @@
-//! Model engines that take orders to form groups, in virtual time.
+//! Model engines that carry out orders to form groups, in virtual time.
 //!
-//! They keep the rules that a fleet's planner must never break and collect
-//! each breach: a member joins another group while its old leader serves, a
-//! leader opens without all members ready, an epoch is used twice, an instance that has
-//! started again joins another group while the leader of its earlier life's serves.
+//! They check the rules that a fleet planner must never break and record each breach: a member
+//! joins another group while the leader of its old one serves, a leader opens before all
+//! members are ready, an epoch is used twice, or a restarted instance joins another group while
+//! the leader of its previous incarnation's group serves.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -14,18 +14,18 @@
 };
 use thistlesill_core::{InstanceId, Millis, Model};
 
-/// How long the engines take.
+/// Durations of the engines' operations, in virtual time.
 #[derive(Debug, Clone, Copy)]
 pub struct EngineTimes {
-    /// A load from afar.
+    /// Loading weights that are not staged on the host.
     pub load: Millis,
-    /// A load from the host.
+    /// Loading weights that are staged on the host.
     pub staged_load: Millis,
-    /// A join with the weights of the last group.
+    /// Joining a group with the model that is already in memory.
     pub reuse: Millis,
-    /// Until a leader that lost a member is broken.
+    /// Time after which a leader without one of its members is broken.
     pub stall_timeout: Millis,
-    /// From the order to open to the first request.
+    /// Time from the order to open until the leader serves.
     pub open: Millis,
 }
 
@@ -41,7 +41,8 @@
     }
 }
 
-/// The figures of engines that run a model of four and one of two members.
+/// Returns the performance figures of engines that run a model with four members per group and
+/// one with two.
 pub fn engine() -> Engine {
     let plan = |model: &str, size, share, pace| ModelPlan {
         model: model.into(),
@@ -65,27 +66,25 @@
 #[derive(Debug, Clone)]
 struct FakeEngine {
     target: Target,
-    /// Whether it answers.
     alive: bool,
-    /// Whether it is in the list.
     listed: bool,
     loaded: Option<Model>,
-    /// Highest epoch seen.
+    /// Highest epoch of all orders to join.
     epoch: u64,
-    /// Orders that it took in its present life.
+    /// Orders carried out by the current incarnation.
     orders_taken: u64,
     members: Vec<InstanceId>,
-    /// The group of its life before this one.
-    before: Option<GroupRef>,
+    /// The group of the previous incarnation.
+    previous_group: Option<GroupRef>,
     joining: Option<(Model, Millis)>,
     opening: Option<Millis>,
     staging: Option<(Model, Millis)>,
-    /// Since when a member is missing.
-    stalled: Option<Millis>,
+    /// When the leader first lacked a member.
+    stalled_since: Option<Millis>,
 }
 
 impl FakeEngine {
-    /// An engine that has just started and is listed.
+    /// Creates an engine that has just started and is listed.
     const fn new(target: Target) -> Self {
         Self {
             target,
@@ -95,39 +94,39 @@
             epoch: 0,
             orders_taken: 0,
             members: Vec::new(),
-            before: None,
+            previous_group: None,
             joining: None,
             opening: None,
             staging: None,
-            stalled: None,
+            stalled_since: None,
         }
     }
 }
 
-/// A service's engines.
+/// The engines of one service.
 #[derive(Debug, Clone, Default)]
 pub struct Engines {
-    all: BTreeMap<InstanceId, FakeEngine>,
-    lists: HashMap<GroupRef, Vec<InstanceId>>,
-    /// Members that were ready, by group.
+    by_instance: BTreeMap<InstanceId, FakeEngine>,
+    member_lists: HashMap<GroupRef, Vec<InstanceId>>,
+    /// Members that have reported ready, per group.
     ready: HashSet<(GroupRef, InstanceId)>,
-    /// How long the engines take.
+    /// Durations of the engines' operations; may be changed at any time.
     pub times: EngineTimes,
-    /// Breaches of what must always hold.
+    /// A description of each rule that an order broke.
     pub breaches: Vec<String>,
 }
 
 impl Engines {
-    /// Engines in domains of eight.
+    /// Creates eight engines in each of `domains` domains.
     pub fn new(domains: usize) -> Self {
-        let mut all = Self::default();
+        let mut engines = Self::default();
         for i in 0..domains * 8 {
-            all.add(i);
+            engines.add(i);
         }
-        all
+        engines
     }
 
-    /// Adds the engine with a number; eight numbers share a domain.
+    /// Adds the engine `i-<number>` and returns its ID. Eight consecutive numbers share a domain.
     pub fn add(&mut self, number: usize) -> TargetId {
         let id = TargetId::from(format!("i-{number:03}"));
         let address = SocketAddr::from((Ipv4Addr::new(10, 0, 0, number as u8), 80));
@@ -144,129 +143,138 @@
             member: None,
         };
         let engine = FakeEngine::new(target);
-        self.all.insert(id.instance().clone(), engine);
+        self.by_instance.insert(id.instance().clone(), engine);
         id
     }
 
-    /// The targets as the list shows them.
+    /// Returns the listed targets as the store's list shows them.
     pub fn listed(&self) -> HashMap<TargetId, Target> {
-        let listed = self.all.values().filter(|e| e.listed);
+        let listed = self.by_instance.values().filter(|e| e.listed);
         listed
             .map(|e| (e.target.id.clone(), e.target.clone()))
             .collect()
     }
 
-    /// Whether an engine leads a group that serves and has all its members.
+    /// Whether an engine leads an open group that has all its members.
     pub fn leads_complete_group(&self, id: &TargetId) -> bool {
         let leads = self
-            .all
+            .by_instance
             .get(id.instance())
             .is_some_and(|e| e.alive && e.target.is_open_leader());
         leads && !self.lacks_member(id)
     }
 
-    /// Moves an engine to an address.
+    /// Changes the address of an engine.
     pub fn set_address(&mut self, id: &TargetId, address: SocketAddr) {
-        if let Some(engine) = self.all.get_mut(id.instance()) {
+        if let Some(engine) = self.by_instance.get_mut(id.instance()) {
             engine.target.address = address;
         }
     }
 
-    /// Has an engine tell another data centre as its own.
+    /// Changes the data centre that an engine announces as its own.
     pub fn set_hall(&mut self, id: &TargetId, hall: &str) {
-        if let Some(engine) = self.all.get_mut(id.instance()) {
+        if let Some(engine) = self.by_instance.get_mut(id.instance()) {
             engine.target.hall = hall.into();
         }
     }
 
-    /// Whether an engine answers.
+    /// Whether an engine answers; also false for unknown ones.
     pub fn is_alive(&self, id: &TargetId) -> bool {
-        self.all.get(id.instance()).is_some_and(|e| e.alive)
+        self.by_instance.get(id.instance()).is_some_and(|e| e.alive)
     }
 
-    /// The leaders of groups that serve, with their groups' members.
+    /// Returns the leaders of open groups, each with the members of its group.
     pub fn serving(&self) -> Vec<(TargetId, Vec<TargetId>)> {
         let open = self
-            .all
+            .by_instance
             .values()
             .filter(|e| e.alive && e.target.is_open_leader());
-        open.map(|e| (e.target.id.clone(), self.lives(&e.members)))
+        open.map(|e| (e.target.id.clone(), self.current_ids(&e.members)))
             .collect()
     }
 
-    /// The present lives of some instances.
-    fn lives(&self, instances: &[InstanceId]) -> Vec<TargetId> {
-        let engines = instances.iter().filter_map(|id| self.all.get(id));
+    /// Returns the current incarnations of some instances.
+    fn current_ids(&self, instances: &[InstanceId]) -> Vec<TargetId> {
+        let engines = instances.iter().filter_map(|id| self.by_instance.get(id));
         engines.map(|e| e.target.id.clone()).collect()
     }
 
-    /// Leaders that serve but lack a member.
+    /// Returns the open leaders that lack a member or do not answer.
     pub fn stalled(&self) -> HashSet<TargetId> {
-        let open = self.all.values().filter(|e| e.target.is_open_leader());
-        let lacking = open.filter(|e| e.stalled.is_some() || !e.alive);
-        lacking.map(|e| e.target.id.clone()).collect()
+        let open = self
+            .by_instance
+            .values()
+            .filter(|e| e.target.is_open_leader());
+        let stalled = open.filter(|e| e.stalled_since.is_some() || !e.alive);
+        stalled.map(|e| e.target.id.clone()).collect()
     }
 
-    /// Silences an engine for good; it stays in the list for a while.
+    /// Stops an engine from answering for good; it stays listed until [`Self::unlist`].
     pub fn kill(&mut self, id: &TargetId) {
-        if let Some(engine) = self.all.get_mut(id.instance()) {
+        if let Some(engine) = self.by_instance.get_mut(id.instance()) {
             engine.alive = false;
         }
     }
 
-    /// Has an engine start again under its id: it holds what lies on its host and
-    /// knows nothing else. Returns its new life.
+    /// Restarts an engine as the incarnation `born` and returns its new ID. Weights that are
+    /// staged on its host remain; all other state is lost.
     pub fn restart(&mut self, id: &TargetId, born: Incarnation) -> Option<TargetId> {
-        let engine = self.all.get_mut(id.instance())?;
+        let engine = self.by_instance.get_mut(id.instance())?;
         let mut target = engine.target.clone();
-        let before = target.member.take().map(|m| m.of);
+        let previous_group = target.member.take().map(|m| m.of);
         target.id = TargetId::new(id.instance().clone(), born);
         target.leaving = false;
-        let life = target.id.clone();
+        let id = target.id.clone();
         *engine = FakeEngine {
-            before,
+            previous_group,
             ..FakeEngine::new(target)
         };
-        Some(life)
+        Some(id)
     }
 
-    /// The present life of an engine.
+    /// Returns the ID of an engine's current incarnation.
     pub fn incarnation(&self, id: &TargetId) -> Option<TargetId> {
-        self.all.get(id.instance()).map(|e| e.target.id.clone())
+        self.by_instance
+            .get(id.instance())
+            .map(|e| e.target.id.clone())
     }
 
-    /// Takes an engine off the list, whether it lives or not.
+    /// Removes an engine from the list, whether it answers or not.
     pub fn unlist(&mut self, id: &TargetId) {
-        if let Some(engine) = self.all.get_mut(id.instance()) {
+        if let Some(engine) = self.by_instance.get_mut(id.instance()) {
             engine.listed = false;
         }
     }
 
-    /// Has an engine show itself in the list again.
+    /// Adds an engine to the list again.
     pub fn relist(&mut self, id: &TargetId) {
-        if let Some(engine) = self.all.get_mut(id.instance()) {
+        if let Some(engine) = self.by_instance.get_mut(id.instance()) {
             engine.listed = true;
         }
     }
 
-    /// Has an engine say that it leaves.
+    /// Makes an engine announce that it is leaving.
     pub fn leave(&mut self, id: &TargetId) {
-        if let Some(engine) = self.all.get_mut(id.instance()) {
+        if let Some(engine) = self.by_instance.get_mut(id.instance()) {
             engine.target.leaving = true;
         }
     }
 
-    /// Lets time pass.
+    /// Advances all engines to `now`.
     pub fn advance(&mut self, now: Millis) {
-        let ids: Vec<TargetId> = self.all.values().map(|e| e.target.id.clone()).collect();
+        let ids: Vec<TargetId> = self
+            .by_instance
+            .values()
+            .map(|e| e.target.id.clone())
+            .collect();
         for id in ids {
             self.advance_one(&id, now);
         }
     }
 
     fn advance_one(&mut self, id: &TargetId, now: Millis) {
-        let lacks = self.lacks_member(id);
-        let Some(engine) = self.all.get_mut(id.instance()).filter(|e| e.alive) else {
+        let incomplete = self.lacks_member(id);
+        let Some(engine) = self.by_instance.get_mut(id.instance()).filter(|e| e.alive) else {
             return;
         };
         if let Some((model, _)) = engine.staging.take_if(|(_, at)| *at <= now) {
@@ -286,51 +294,53 @@
         if engine.opening.take_if(|at| *at <= now).is_some() {
             member.state = MemberState::Open;
         }
-        if member.state != MemberState::Open || !lacks {
-            engine.stalled = None;
+        if member.state != MemberState::Open || !incomplete {
+            engine.stalled_since = None;
             return;
         }
-        let since = *engine.stalled.get_or_insert(now);
+        let since = *engine.stalled_since.get_or_insert(now);
         if now - since >= self.times.stall_timeout {
             member.state = MemberState::Broken;
         }
     }
 
-    /// Whether a leader lacks a member of its group.
+    /// Whether a member of a leader's group does not answer or has left the group.
     fn lacks_member(&self, id: &TargetId) -> bool {
-        let Some(leader) = self.all.get(id.instance()) else {
+        let Some(leader) = self.by_instance.get(id.instance()) else {
             return false;
         };
         let Some(group) = leader.target.member.as_ref().map(|m| &m.of) else {
             return false;
         };
         leader.members.iter().any(|id| {
-            let member = self.all.get(id).filter(|e| e.alive);
+            let member = self.by_instance.get(id).filter(|e| e.alive);
             let of = member.and_then(|e| e.target.member.as_ref()).map(|m| &m.of);
             of != Some(group)
         })
     }
 
-    /// Gives an order to an engine.
+    /// Sends an order to an engine and returns the engine's reply.
     pub fn order(&mut self, id: &TargetId, order: &Order, now: Millis) -> OrderReply {
         if !self.is_alive(id) {
             return OrderReply::Unknown;
         }
-        let reply = self.carry_out(id, order, now);
+        let reply = self.apply_order(id, order, now);
         if reply == OrderReply::Begun
-            && let Some(engine) = self.all.get_mut(id.instance())
+            && let Some(engine) = self.by_instance.get_mut(id.instance())
         {
             engine.orders_taken += 1;
         }
         reply
     }
 
-    /// How many orders an engine took in its present life.
+    /// Returns how many orders an engine's current incarnation has carried out.
     pub fn orders_taken(&self, id: &TargetId) -> u64 {
-        self.all.get(id.instance()).map_or(0, |e| e.orders_taken)
+        self.by_instance
+            .get(id.instance())
+            .map_or(0, |e| e.orders_taken)
     }
 
-    fn carry_out(&mut self, id: &TargetId, order: &Order, now: Millis) -> OrderReply {
+    fn apply_order(&mut self, id: &TargetId, order: &Order, now: Millis) -> OrderReply {
         match order {
             Order::Join { orders_taken, .. } if *orders_taken != self.orders_taken(id) => {
                 OrderReply::Unfit
@@ -342,7 +352,7 @@
             Order::Cut(group) | Order::Close(group) => self.close(id, group),
             Order::Leave(group) => self.leave_group(id, group),
             Order::Stage(model) => {
-                let Some(engine) = self.all.get_mut(id.instance()) else {
+                let Some(engine) = self.by_instance.get_mut(id.instance()) else {
                     return OrderReply::Unknown;
                 };
                 engine.staging = Some((model.clone(), now + self.times.load));
@@ -361,18 +371,18 @@
     ) -> OrderReply {
         let members: Vec<InstanceId> = members.iter().map(|m| m.instance().clone()).collect();
         let list = self
-            .lists
+            .member_lists
             .entry(to.clone())
             .or_insert_with(|| members.clone());
         if *list != members {
             self.breaches
-                .push(format!("{} has two lists of members", to.group));
+                .push(format!("{} has two member lists", to.group));
         }
-        let Some(engine) = self.all.get(id.instance()) else {
+        let Some(engine) = self.by_instance.get(id.instance()) else {
             return OrderReply::Unknown;
         };
         let old = engine.target.member.as_ref().map(|m| m.of.clone());
-        let old = old.or_else(|| engine.before.clone().filter(|before| before != to));
+        let old = old.or_else(|| engine.previous_group.clone().filter(|group| group != to));
         if old.as_ref() == Some(to) {
             return OrderReply::Held;
         }
@@ -380,9 +390,9 @@
             return OrderReply::Outdated;
         }
         if let Some(old) = old {
-            self.check_left(id, &old);
+            self.check_departure(id, &old);
         }
-        let Some(engine) = self.all.get_mut(id.instance()) else {
+        let Some(engine) = self.by_instance.get_mut(id.instance()) else {
             return OrderReply::Unknown;
         };
         let time = if engine.loaded.as_ref() == Some(model) {
@@ -396,7 +406,7 @@
         let rank = members.iter().position(|m| m == id.instance());
         let rank = rank.unwrap_or(usize::MAX) as u32;
         engine.members = members;
-        engine.before = None;
+        engine.previous_group = None;
         engine.joining = Some((model.clone(), now + time));
         engine.opening = None;
         engine.target.member = Some(Membership {
@@ -408,11 +418,17 @@
         OrderReply::Begun
     }
 
-    /// A member may go only if its leader neither serves nor will.
-    fn check_left(&mut self, id: &TargetId, old: &GroupRef) {
-        let leader = self.lists.get(old).and_then(|list| list.first()).cloned();
-        let leads = leader.and_then(|l| self.all.get(&l)).filter(|e| e.alive);
-        let member = leads.and_then(|e| e.target.member.as_ref());
+    /// Records a breach if the leader of the group that a member leaves still serves.
+    fn check_departure(&mut self, id: &TargetId, old: &GroupRef) {
+        let leader = self
+            .member_lists
+            .get(old)
+            .and_then(|list| list.first())
+            .cloned();
+        let leader = leader
+            .and_then(|l| self.by_instance.get(&l))
+            .filter(|e| e.alive);
+        let member = leader.and_then(|e| e.target.member.as_ref());
         let serves = member.is_some_and(|m| m.of == *old && m.state == MemberState::Open);
         if serves {
             self.breaches
@@ -421,7 +437,7 @@
     }
 
     fn open(&mut self, id: &TargetId, group: &GroupRef, now: Millis) -> OrderReply {
-        let members = self.lists.get(group).cloned().unwrap_or_default();
+        let members = self.member_lists.get(group).cloned().unwrap_or_default();
         let unready = members
             .iter()
             .find(|m| !self.ready.contains(&(group.clone(), (*m).clone())));
@@ -429,7 +445,7 @@
             self.breaches
                 .push(format!("{} opens before {unready} is ready", group.group));
         }
-        let Some(engine) = self.all.get_mut(id.instance()) else {
+        let Some(engine) = self.by_instance.get_mut(id.instance()) else {
             return OrderReply::Unknown;
         };
         match &engine.target.member {
@@ -443,7 +459,7 @@
     }
 
     fn close(&mut self, id: &TargetId, group: &GroupRef) -> OrderReply {
-        let Some(engine) = self.all.get_mut(id.instance()) else {
+        let Some(engine) = self.by_instance.get_mut(id.instance()) else {
             return OrderReply::Unknown;
         };
         match &mut engine.target.member {
@@ -457,7 +473,7 @@
     }
 
     fn leave_group(&mut self, id: &TargetId, group: &GroupRef) -> OrderReply {
-        let Some(engine) = self.all.get_mut(id.instance()) else {
+        let Some(engine) = self.by_instance.get_mut(id.instance()) else {
             return OrderReply::Unknown;
         };
         match &engine.target.member {
--- a/crates/thistlesill-fakes/src/fleet_file.rs
+++ b/crates/thistlesill-fakes/src/fleet_file.rs
@@ -1,4 +1,4 @@
-//! The file that describes a fleet of stand-ins.
+//! The settings file that describes a fleet of stand-ins.
 
 use std::net::{IpAddr, SocketAddr};
 use std::path::PathBuf;
@@ -7,73 +7,73 @@
 use thistlesill_core::report::ListedInstance;
 use thistlesill_core::{DomainId, Generation, HallId, InstanceId, RegionId, ServiceName};
 
-/// The file that the stand-ins are started with.
+/// The contents of the file that the stand-ins are started with.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetFile {
-    /// Where the platform listens.
+    /// Address on which the platform listens.
     pub platform: SocketAddr,
-    /// The IP number on which targets listen.
+    /// IP address on which the targets listen.
     pub targets: IpAddr,
-    /// The first target's port; the others follow.
+    /// Port of the first target; each further target has the next port.
     pub first_port: u16,
-    /// The region.
+    /// Region of all instances.
     pub region: RegionId,
-    /// The halls.
+    /// Halls of the fleet.
     pub halls: Vec<HallSpec>,
-    /// How engines behave.
+    /// Behaviour of all engines of the fleet.
     #[serde(default)]
     pub engine: EngineOptions,
-    /// File with the key that orders are proved with.
+    /// File with the key that authenticates orders.
     pub key_file: PathBuf,
 }
 
-/// One hall.
+/// One hall of a fleet.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HallSpec {
-    /// Its name.
+    /// Name of the hall.
     pub hall: HallId,
-    /// Its fabric domains.
+    /// Fabric domains of the hall.
     pub domains: Vec<DomainSpec>,
-    /// Its plain services, one instance each.
+    /// Plain services of the hall, one instance each.
     #[serde(default)]
     pub services: Vec<ServiceName>,
 }
 
-/// One fabric domain.
+/// One fabric domain of a hall.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DomainSpec {
-    /// Its name.
+    /// Name of the domain.
     pub domain: DomainId,
-    /// The generation of its instances.
+    /// Hardware generation of the instances.
     pub generation: Generation,
-    /// How many instances.
+    /// Number of instances.
     pub instances: u32,
-    /// Accelerators of each.
+    /// Accelerators per instance.
     pub accelerators: u32,
 }
 
-/// How the engines of a fleet behave.
+/// The behaviour of a fleet's engines.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct EngineOptions {
-    /// Milliseconds per token of one request alone.
+    /// Time per token of a request that runs alone, in milliseconds.
     pub token_ms: u64,
-    /// Milliseconds to the first token.
+    /// Time to the first token, in milliseconds.
     pub prefill_ms: u64,
-    /// Requests that run at a time.
+    /// Requests that an engine runs at the same time.
     pub slots: u32,
-    /// Milliseconds to load weights.
+    /// Time to load weights, in milliseconds.
     pub load_ms: u64,
-    /// Loads that the weight store begins per second.
+    /// Loads that the weight store starts per second.
     pub loads_per_second: u32,
-    /// By how much reports of load lag, in milliseconds.
+    /// Age of the load figures in reports, in milliseconds.
     pub lag_ms: u64,
-    /// Whether stale orders are refused.
+    /// Whether targets refuse stale orders.
     pub checks_orders: bool,
-    /// How long a stream without a reader is kept, in milliseconds.
+    /// Time for which a stream without a reader is kept, in milliseconds.
     pub keep_ms: u64,
 }
 
@@ -93,14 +93,14 @@
 }
 
 impl FleetFile {
-    /// All instances, in the order of the file.
+    /// Returns all instances in the order of the file.
     pub fn instances(&self) -> Vec<ListedInstance> {
-        let mut places = Vec::new();
+        let mut instances = Vec::new();
         let mut port = self.first_port;
         for hall in &self.halls {
             for domain in &hall.domains {
                 for n in 0..domain.instances {
-                    places.push(ListedInstance {
+                    instances.push(ListedInstance {
                         instance: InstanceId::new(format!("{}-{n:02}", domain.domain)),
                         region: self.region.clone(),
                         hall: hall.hall.clone(),
@@ -115,7 +115,7 @@
                 }
             }
             for service in &hall.services {
-                places.push(ListedInstance {
+                instances.push(ListedInstance {
                     instance: InstanceId::new(format!("{}-{service}", hall.hall)),
                     region: self.region.clone(),
                     hall: hall.hall.clone(),
@@ -129,6 +129,6 @@
                 port += 1;
             }
         }
-        places
+        instances
     }
 }
--- a/crates/thistlesill-fakes/src/lib.rs
+++ b/crates/thistlesill-fakes/src/lib.rs
@@ -1,6 +1,8 @@
-//! Small fakes at the interfaces: a transactional table, a target that
-//! takes orders, and the file that describes a fleet of them. They do no I/O and read no clock; the stand-ins, the
-//! replayer and the tests are built on them.
+//! In-memory fakes of the external interfaces: a transactional table, targets that carry out
+//! orders, and the file that describes a fleet of targets.
+//!
+//! The fakes do no I/O and read no clock. The stand-ins, the replayer and the tests are built on
+//! them.
 
 pub mod engines;
 mod fleet_file;
@@ -13,12 +15,12 @@
 pub use table::Table;
 pub use target::Target;
 
-/// Property tests by `quickcheck` with a fixed seed, so that CI gives the
-/// same verdict every run. The calling crate needs `quickcheck`.
+/// Defines `quickcheck` property tests with a fixed seed, so that every CI run has the same
+/// result. The calling crate needs `quickcheck` as a dependency.
 #[macro_export]
 macro_rules! seeded {
     ($(fn $name:ident($($arg:ident: $type:ty),* $(,)?) -> $result:ty $body:block)*) => {$(
-        // The method that the library names as successor is not in it yet.
+        // The replacement that the deprecation notice names is not in the library yet.
         #[allow(deprecated)]
         #[test]
         fn $name() {
--- a/crates/thistlesill-fakes/src/prefix_cache.rs
+++ b/crates/thistlesill-fakes/src/prefix_cache.rs
@@ -1,13 +1,13 @@
-//! An engine's prefix cache, and the few events that it publishes of it.
+//! An engine's prefix cache and the cache events that the engine publishes.
 
 use std::collections::VecDeque;
 
 use thistlesill_core::report::CacheEvent;
 
-/// Cache events kept; older ones are lost, as gaps.
+/// Number of recent events kept. Older ones are lost; readers see a gap in the sequence numbers.
 const MAX_EVENTS: usize = 8;
 
-/// A cache of prefixes that drops the one used longest ago.
+/// A cache of prompt prefixes that evicts the least recently used one.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PrefixCache {
     prefixes: VecDeque<u64>,
@@ -16,8 +16,8 @@
 }
 
 impl PrefixCache {
-    /// Whether a prefix is cached; it is afterwards, beside at most
-    /// `capacity` in all.
+    /// Inserts a prefix or marks it as just used, and returns whether it was cached before.
+    /// Evicts the least recently used prefix if there are more than `capacity`.
     pub fn touch(&mut self, prefix: u64, capacity: usize) -> bool {
         let hit = self.prefixes.contains(&prefix);
         self.prefixes.retain(|p| *p != prefix);
@@ -26,14 +26,14 @@
             self.publish(prefix, true);
         }
         if self.prefixes.len() > capacity
-            && let Some(dropped) = self.prefixes.pop_front()
+            && let Some(evicted) = self.prefixes.pop_front()
         {
-            self.publish(dropped, false);
+            self.publish(evicted, false);
         }
         hit
     }
 
-    /// Recent events.
+    /// Returns the most recent events, oldest first.
     pub fn events(&self) -> Vec<CacheEvent> {
         self.events.iter().copied().collect()
     }
--- a/crates/thistlesill-fakes/src/table.rs
+++ b/crates/thistlesill-fakes/src/table.rs
@@ -1,10 +1,10 @@
-//! An in-memory table with versions and transactions.
+//! An in-memory table with row versions and guarded transactions.
 
 use std::collections::BTreeMap;
 
 use thistlesill_core::table::{Guard, Read, Row, RowKey, Rows, Txn, TxnReply, Write};
 
-/// An in-memory table with versions.
+/// An in-memory table in which every committed transaction has a version of its own.
 #[derive(Debug, Clone, Default)]
 pub struct Table {
     version: u64,
@@ -14,13 +14,14 @@
 }
 
 impl Table {
-    /// Commits a transaction if all its guards hold.
+    /// Commits a transaction if all its guards are satisfied; otherwise returns the keys of the
+    /// guards that are not.
     pub fn txn(&mut self, txn: &Txn) -> TxnReply {
         self.transactions += 1;
         let failed: Vec<RowKey> = txn
             .guards
             .iter()
-            .filter(|g| !self.holds(g))
+            .filter(|g| !self.is_satisfied(g))
             .map(|g| g.key().clone())
             .collect();
         if !failed.is_empty() {
@@ -35,22 +36,22 @@
         }
     }
 
-    /// Reads rows by prefix.
+    /// Reads the rows whose keys start with any of the prefixes.
     pub fn read(&mut self, read: &Read) -> Rows {
         self.reads += 1;
-        let wanted = |key: &RowKey| read.prefixes.iter().any(|p| key.starts_with(&**p));
-        let rows = self.rows.iter().filter(|(key, _)| wanted(key));
+        let matches = |key: &RowKey| read.prefixes.iter().any(|p| key.starts_with(&**p));
+        let rows = self.rows.iter().filter(|(key, _)| matches(key));
         Rows {
             rows: rows.map(|(_, row)| row.clone()).collect(),
         }
     }
 
-    /// Transactions and reads so far.
+    /// Returns how many transactions and reads there were, including refused transactions.
     pub const fn counts(&self) -> (u64, u64) {
         (self.transactions, self.reads)
     }
 
-    fn holds(&self, guard: &Guard) -> bool {
+    fn is_satisfied(&self, guard: &Guard) -> bool {
         let row = self.rows.get(guard.key());
         match guard {
             Guard::Absent { .. } => row.is_none(),
--- a/crates/thistlesill-fakes/src/target.rs
+++ b/crates/thistlesill-fakes/src/target.rs
@@ -1,32 +1,32 @@
-//! A target's side of orders: incarnation, fence and duty.
+//! A target's handling of orders: incarnation, fence and duty.
 
 use thistlesill_core::report::{
     Duty, Fence, Load, Membership, Order, OrderReply, Pressure, Report, Task,
 };
 use thistlesill_core::{GroupId, InstanceId, ServiceName};
 
-/// A target that takes orders.
+/// A target that carries out orders.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Target {
-    /// Its instance.
+    /// The instance that the target runs on.
     pub instance: InstanceId,
-    /// Changes with every start.
+    /// Number of starts so far; orders for another incarnation are refused.
     pub incarnation: u64,
-    /// What it does.
+    /// The target's current task: idle, a service, or a member of a group.
     pub duty: Duty,
-    /// The highest fence seen.
+    /// Highest fence of all accepted orders since the start.
     pub fence: Fence,
-    /// Whether it says that it is leaving.
+    /// Whether the target announces that it is leaving.
     pub leaving: bool,
-    /// Weights in memory.
+    /// The weights in memory.
     pub warm: Option<Load>,
-    /// Whether it refuses stale orders.
+    /// Whether orders with a fence below [`Self::fence`] are refused.
     pub checks_orders: bool,
 }
 
 impl Target {
-    /// A target after its first start.
-    pub fn new(instance: InstanceId, service: Option<ServiceName>, checks: bool) -> Self {
+    /// Creates a target after its first start: a server of `service`, or idle without one.
+    pub fn new(instance: InstanceId, service: Option<ServiceName>, checks_orders: bool) -> Self {
         Self {
             instance,
             incarnation: 1,
@@ -34,11 +34,11 @@
             fence: Fence::default(),
             leaving: false,
             warm: None,
-            checks_orders: checks,
+            checks_orders,
         }
     }
 
-    /// Starts anew: its memory is lost.
+    /// Restarts the target as a new incarnation. Only the assignment to a service survives.
     pub fn restart(&mut self) {
         self.incarnation += 1;
         self.fence = Fence::default();
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Takes an order, or refuses it.
+    /// Carries out an order or refuses it, and returns the reply.
     pub fn apply_order(&mut self, order: &Order) -> OrderReply {
         if order.instance != self.instance || order.incarnation != self.incarnation {
             return OrderReply::Stranger;
@@ -60,7 +60,7 @@
         self.fence = self.fence.max(order.fence);
         match &order.task {
             Task::Join(m) => self.join(m.clone()),
-            // Loading takes time, which the target's owner keeps.
+            // Loading takes time, which the caller simulates.
             Task::Warm { .. } => {}
             Task::Reset => self.duty = Duty::Idle,
             Task::Quiesce { group, epoch } => self.quiesce(group, *epoch),
@@ -68,12 +68,13 @@
         OrderReply::Taken
     }
 
-    /// Whether joining this group needs no loading.
+    /// Whether the weights for a membership are already in memory.
     pub fn is_warm(&self, membership: &Membership) -> bool {
         self.warm.as_ref() == Some(&membership.load)
     }
 
-    /// Notes that the weights for a membership are loaded.
+    /// Records that the weights for a membership are loaded. The target becomes ready if it is
+    /// still loading for this membership.
     pub fn finish_loading(&mut self, membership: &Membership) {
         self.warm = Some(membership.load.clone());
         if self.duty == Duty::Loading(membership.clone()) {
@@ -81,12 +82,12 @@
         }
     }
 
-    /// Notes that weights are loaded for no group yet.
+    /// Records weights that were loaded ahead of any membership.
     pub fn set_warm(&mut self, load: Load) {
         self.warm = Some(load);
     }
 
-    /// Its report, with these figures.
+    /// Returns the target's report with the given pressure and no cache events.
     pub fn report(&self, pressure: Pressure) -> Report {
         Report {
             instance: self.instance.clone(),
