--- a/crates/thistlesill-fakes/src/engines.rs
+++ b/crates/thistlesill-fakes/src/engines.rs
@@ -209,7 +209,8 @@
         stalled.map(|e| e.target.id.clone()).collect()
     }
 
-    /// Stops an engine from answering for good; it stays listed until [`Self::unlist`].
+    /// Stops an engine from answering, for good unless it is restarted. It stays listed until
+    /// [`Self::unlist`].
     pub fn kill(&mut self, id: &TargetId) {
         if let Some(engine) = self.by_instance.get_mut(id.instance()) {
             engine.alive = false;
@@ -217,7 +218,8 @@
     }
 
     /// Restarts an engine as the incarnation `born` and returns its new ID. Weights that are
-    /// staged on its host remain; all other state is lost.
+    /// staged on its host remain; weights in memory, the membership and orders in progress are
+    /// lost.
     pub fn restart(&mut self, id: &TargetId, born: Incarnation) -> Option<TargetId> {
         let engine = self.by_instance.get_mut(id.instance())?;
         let mut target = engine.target.clone();
--- a/crates/thistlesill-fakes/src/fleet_file.rs
+++ b/crates/thistlesill-fakes/src/fleet_file.rs
@@ -1,4 +1,4 @@
-//! The settings file that describes a fleet of stand-ins.
+//! The file that describes a fleet of stand-ins.
 
 use std::net::{IpAddr, SocketAddr};
 use std::path::PathBuf;
