--- a/crates/thistlesill-replay/src/compare.rs
+++ b/crates/thistlesill-replay/src/compare.rs
@@ -1,23 +1,23 @@
-//! The shipped decisions beside the baselines, as a table.
+//! Compares the production policies with baselines, as a text table.
 
 use thistlesill_policy::pick::PickRule;
 use thistlesill_policy::plan::Strategy;
 
 use crate::measure::Measures;
 use crate::player::{Decisions, play};
-use crate::trace::Loaded;
+use crate::trace::LoadedTrace;
 
-/// One line of a comparison.
+/// One row of a comparison.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Compared {
-    /// What was played with.
+pub struct ComparisonRow {
+    /// Name of the policies that the trace was replayed with.
     pub name: &'static str,
-    /// The measures.
+    /// Measures of the replay.
     pub measures: Measures,
 }
 
-/// Plays a trace with each placement.
-pub fn placements(loaded: &Loaded) -> Vec<Compared> {
+/// Replays a trace with each placement strategy.
+pub fn compare_strategies(loaded: &LoadedTrace) -> Vec<ComparisonRow> {
     let list = [
         ("weighed (shipped)", Strategy::Weighed),
         ("first fit, no spare", Strategy::FirstFit),
@@ -30,8 +30,8 @@
     play_all(loaded, &list.map(decisions))
 }
 
-/// Plays a trace with each rule of picking.
-pub fn rules(loaded: &Loaded) -> Vec<Compared> {
+/// Replays a trace with each rule for picking a group.
+pub fn compare_pick_rules(loaded: &LoadedTrace) -> Vec<ComparisonRow> {
     let list = [
         ("corrected (shipped)", PickRule::Corrected),
         ("least reported", PickRule::LeastReported),
@@ -45,25 +45,26 @@
     play_all(loaded, &list.map(decisions))
 }
 
-/// Plays a trace with several decisions, each on a thread of its own.
-fn play_all(loaded: &Loaded, list: &[(&'static str, Decisions)]) -> Vec<Compared> {
+/// Replays a trace once per entry of `list`, each on its own thread.
+fn play_all(loaded: &LoadedTrace, list: &[(&'static str, Decisions)]) -> Vec<ComparisonRow> {
     std::thread::scope(|scope| {
         let run = |(name, decisions): &(&'static str, Decisions)| {
             let (name, decisions) = (*name, *decisions);
-            let played = scope.spawn(move || play(loaded, decisions));
-            (name, played)
+            let replay = scope.spawn(move || play(loaded, decisions));
+            (name, replay)
         };
         let threads: Vec<_> = list.iter().map(run).collect();
-        let row = |(name, played): (&'static str, std::thread::ScopedJoinHandle<'_, _>)| Compared {
-            name,
-            measures: played.join().expect("a play ends"),
-        };
+        let row =
+            |(name, replay): (&'static str, std::thread::ScopedJoinHandle<'_, _>)| ComparisonRow {
+                name,
+                measures: replay.join().expect("the replay thread panicked"),
+            };
         threads.into_iter().map(row).collect()
     })
 }
 
-/// The measures as lines of text.
-pub fn table(rows: &[Compared]) -> String {
+/// Formats rows as a table with a header line.
+pub fn format_table(rows: &[ComparisonRow]) -> String {
     let mut out = format!(
         "{:<22}{:>10}{:>11}{:>8}{:>8}{:>7}{:>7}{:>9}{:>9}{:>8}{:>8}{:>8}\n",
         "",
--- a/crates/thistlesill-replay/src/lib.rs
+++ b/crates/thistlesill-replay/src/lib.rs
@@ -1,9 +1,9 @@
-//! Runs the shipped decisions over recorded inputs in virtual time.
+//! Replays recorded inputs against the production cores in virtual time.
 //!
-//! A [`Stage`](stage::Stage) seats planners' and routers' cores around the
-//! fakes of a table and of targets, and carries their actions out at once. It
-//! is no model of a cluster: time comes in steps, messages take none, and all
-//! that happens is in the trace.
+//! A [`Simulation`](stage::Simulation) connects the cores of planners and routers to fakes of the
+//! table and of targets, and carries out the cores' actions at once. It is not a model of a
+//! cluster: time advances in fixed steps, messages have no latency, and a trace lists every
+//! failure and change.
 
 pub mod compare;
 pub mod measure;
--- a/crates/thistlesill-replay/src/main.rs
+++ b/crates/thistlesill-replay/src/main.rs
@@ -1,7 +1,7 @@
-//! Plays recorded traces through the shipped decisions, compares these with
-//! the baselines, and measures what the decisions cost.
+//! Replays recorded traces with the production policies, compares these with baselines, and
+//! measures what the cores cost.
 //!
-//! The type of the command line is generated from its description below.
+//! The types of the command line are generated from its description below.
 #![allow(missing_docs)]
 
 use std::path::{Path, PathBuf};
@@ -13,29 +13,29 @@
 use thistlesill_replay::trace::{TraceError, load};
 
 xflags::xflags! {
-    /// Plays recorded traces through the shipped decisions.
+    /// Replays recorded traces with the production policies.
     ///
     /// Examples:
     ///   thistlesill-replay play crates/thistlesill-replay/traces/cascade-dawn.jsonc
     ///   thistlesill-replay compare crates/thistlesill-replay/traces/*.jsonc
     ///   thistlesill-replay slopes
     cmd thistlesill-replay {
-        /// Folder with the deployments (default: deploy).
+        /// Directory with the deployments (default: deploy).
         optional --deploy path: PathBuf
-        /// Print JSON.
+        /// Print JSON instead of a table.
         optional --json
 
-        /// Play one trace with the shipped decisions.
+        /// Replay one trace with the production policies.
         cmd play {
-            /// The trace.
+            /// The trace file.
             required trace: PathBuf
         }
-        /// Play traces with the shipped decisions and with the baselines.
+        /// Replay traces with the production policies and with the baselines.
         cmd compare {
-            /// The traces.
+            /// The trace files.
             repeated traces: PathBuf
         }
-        /// Measure what the decisions cost at several sizes.
+        /// Measure time and bytes of the cores' work at several sizes.
         cmd slopes {}
     }
 }
@@ -78,11 +78,11 @@
         let text = serde_json::to_string_pretty(&measures);
         println!("{}", text.unwrap_or_default());
     } else {
-        let row = compare::Compared {
+        let row = compare::ComparisonRow {
             name: "shipped",
             measures,
         };
-        print!("{}", compare::table(&[row]));
+        print!("{}", compare::format_table(&[row]));
     }
     Ok(())
 }
@@ -90,7 +90,13 @@
 fn compare_one(trace: &Path, deploy: &Path) -> Result<(), TraceError> {
     let loaded = load(trace, deploy)?;
     println!("{}: {} s", loaded.trace.name, loaded.trace.seconds);
-    println!("{}", compare::table(&compare::placements(&loaded)));
-    println!("{}", compare::table(&compare::rules(&loaded)));
+    println!(
+        "{}",
+        compare::format_table(&compare::compare_strategies(&loaded))
+    );
+    println!(
+        "{}",
+        compare::format_table(&compare::compare_pick_rules(&loaded))
+    );
     Ok(())
 }
--- a/crates/thistlesill-replay/src/player.rs
+++ b/crates/thistlesill-replay/src/player.rs
@@ -1,4 +1,4 @@
-//! Plays a trace on a stage.
+//! Replays a trace in a simulation.
 
 use std::sync::Arc;
 
@@ -10,43 +10,48 @@
 use thistlesill_policy::plan::Strategy;
 use thistlesill_policy::router::{Arrival, Wanted};
 
-use crate::measure::{Measures, Meter, SAMPLE};
-use crate::stage::{Power, STEP, Seat, Stage, StageOptions};
-use crate::trace::{Arrivals, Loaded, What};
+use crate::measure::{Measures, Meter, SAMPLE_INTERVAL};
+use crate::stage::{DaemonSpec, Power, STEP, Simulation, SimulationOptions};
+use crate::trace::{Arrivals, EventKind, LoadedTrace};
 
-/// The decisions that a trace is played with.
+/// The policies that a trace is replayed with.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Decisions {
-    /// How groups are formed.
+    /// Strategy that planners use to form groups.
     pub strategy: Strategy,
-    /// How groups are picked.
+    /// Rule that routers use to pick a group.
     pub rule: PickRule,
 }
 
-/// Plays a trace to its end and measures it.
-pub fn play(loaded: &Loaded, decisions: Decisions) -> Measures {
+/// Replays a trace to its end and returns its measures.
+pub fn play(loaded: &LoadedTrace, decisions: Decisions) -> Measures {
     let trace = &loaded.trace;
     let mut player = Player::new(loaded, decisions);
     let mut meter = Meter::default();
     let warm_up = Millis::new(trace.warm_up * 1_000);
     let end = Millis::new(trace.seconds * 1_000);
-    while player.stage.elapsed() < end {
-        if player.stage.elapsed() == warm_up {
-            meter.begin(&player.stage);
+    while player.sim.elapsed() < end {
+        if player.sim.elapsed() == warm_up {
+            meter.begin(&player.sim);
         }
         player.step();
-        if player.stage.elapsed().get().is_multiple_of(SAMPLE.get()) {
-            meter.sample(&player.stage);
+        if player
+            .sim
+            .elapsed()
+            .get()
+            .is_multiple_of(SAMPLE_INTERVAL.get())
+        {
+            meter.sample(&player.sim);
         }
     }
-    // What is under way comes to its end, unmeasured.
-    player.stage.run(Millis::new(60_000));
-    meter.end(&player.stage, warm_up)
+    // Lets requests in progress end; downtime and stranded time are no longer sampled.
+    player.sim.run(Millis::new(60_000));
+    meter.end(&player.sim, warm_up)
 }
 
 struct Player<'a> {
-    loaded: &'a Loaded,
-    stage: Stage,
+    loaded: &'a LoadedTrace,
+    sim: Simulation,
     rng: StdRng,
     next_event: usize,
     next_request: u128,
@@ -55,31 +60,31 @@
 }
 
 impl<'a> Player<'a> {
-    fn new(loaded: &'a Loaded, decisions: Decisions) -> Self {
+    fn new(loaded: &'a LoadedTrace, decisions: Decisions) -> Self {
         let trace = &loaded.trace;
         let tree = Arc::new(Tree::new(1, loaded.settings.branches.clone()));
         let halls = loaded.fleet.halls.iter().enumerate();
-        let seats = |letter: char| {
-            let seat = |(n, h): (usize, &thistlesill_fakes::HallSpec)| {
-                Seat::new(&format!("{}-{letter}{n}", h.hall), h.hall.as_str())
+        let daemons = |letter: char| {
+            let daemon = |(n, h): (usize, &thistlesill_fakes::HallSpec)| {
+                DaemonSpec::new(&format!("{}-{letter}{n}", h.hall), h.hall.as_str())
             };
-            halls.clone().map(seat).collect::<Vec<Seat>>()
+            halls.clone().map(daemon).collect::<Vec<DaemonSpec>>()
         };
-        let options = StageOptions {
+        let options = SimulationOptions {
             region: loaded.fleet.region.clone(),
-            places: loaded.fleet.instances(),
+            instances: loaded.fleet.instances(),
             tree: tree.clone(),
-            planners: seats('p'),
-            routers: seats('r'),
-            checks: loaded.fleet.engine.checks_orders,
+            planners: daemons('p'),
+            routers: daemons('r'),
+            checks_orders: loaded.fleet.engine.checks_orders,
             strategy: decisions.strategy,
             rule: decisions.rule,
-            model: trace.engine.clone(),
+            engine: trace.engine.clone(),
             seed: trace.seed,
         };
         Self {
             routers: options.routers.len(),
-            stage: Stage::new(options),
+            sim: Simulation::new(options),
             rng: StdRng::seed_from_u64(trace.seed),
             next_event: 0,
             next_request: 1,
@@ -89,15 +94,15 @@
     }
 
     fn step(&mut self) {
-        self.happen();
-        self.arrive();
-        self.stage.step();
+        self.apply_due_events();
+        self.generate_arrivals();
+        self.sim.step();
     }
 
-    fn happen(&mut self) {
+    fn apply_due_events(&mut self) {
         let events = &self.loaded.trace.events;
         while let Some(event) = events.get(self.next_event) {
-            if self.stage.elapsed() < Millis::new(event.at * 1_000) {
+            if self.sim.elapsed() < Millis::new(event.at * 1_000) {
                 return;
             }
             self.next_event += 1;
@@ -105,79 +110,81 @@
         }
     }
 
-    fn apply(&mut self, what: &What) {
-        let stage = &mut self.stage;
+    fn apply(&mut self, what: &EventKind) {
+        let sim = &mut self.sim;
         match what {
-            What::Kill(i) => stage.power(i.as_str(), Power::Off),
-            What::Restart(i) | What::Continue(i) => stage.power(i.as_str(), Power::On),
-            What::Pause(i) => stage.power(i.as_str(), Power::Paused),
-            What::Slow(i, factor) => stage.slow(i.as_str(), *factor),
-            What::Leave(i) => stage.leave(i.as_str(), true),
-            What::Table(mode) => stage.set_table(*mode),
-            What::KillPlanner(n) => stage.planner_power(*n, Power::Off),
-            What::StartPlanner(n) | What::ContinuePlanner(n) => {
-                stage.planner_power(*n, Power::On);
+            EventKind::Kill(i) => sim.set_power(i.as_str(), Power::Off),
+            EventKind::Restart(i) | EventKind::Continue(i) => sim.set_power(i.as_str(), Power::On),
+            EventKind::Pause(i) => sim.set_power(i.as_str(), Power::Paused),
+            EventKind::Slow(i, factor) => sim.set_slowness(i.as_str(), *factor),
+            EventKind::Leave(i) => sim.set_leaving(i.as_str(), true),
+            EventKind::Table(mode) => sim.set_table(*mode),
+            EventKind::KillPlanner(n) => sim.set_planner_power(*n, Power::Off),
+            EventKind::StartPlanner(n) | EventKind::ContinuePlanner(n) => {
+                sim.set_planner_power(*n, Power::On);
             }
-            What::PausePlanner(n) => stage.planner_power(*n, Power::Paused),
-            What::Dark(domain) => {
-                for i in stage.domain(domain.as_str()) {
-                    stage.power(i.as_str(), Power::Off);
+            EventKind::PausePlanner(n) => sim.set_planner_power(*n, Power::Paused),
+            EventKind::Dark(domain) => {
+                for i in sim.domain_instances(domain.as_str()) {
+                    sim.set_power(i.as_str(), Power::Off);
                 }
             }
-            What::Light(domain) => {
-                for i in stage.domain(domain.as_str()) {
-                    stage.power(i.as_str(), Power::On);
+            EventKind::Light(domain) => {
+                for i in sim.domain_instances(domain.as_str()) {
+                    sim.set_power(i.as_str(), Power::On);
                 }
             }
-            What::Edit(path, branch) => {
+            EventKind::Edit(path, branch) => {
                 let mut branches = self.tree.branches().clone();
                 branches.insert(path.clone(), (**branch).clone());
                 self.tree = Arc::new(Tree::new(self.tree.revision() + 1, branches));
-                stage.settings(self.tree.clone());
+                sim.set_settings(self.tree.clone());
             }
         }
     }
 
-    fn arrive(&mut self) {
-        let second = self.stage.elapsed().get() / 1_000;
+    fn generate_arrivals(&mut self) {
+        let second = self.sim.elapsed().get() / 1_000;
         let step = STEP.get() as f64 / 1_000.0;
         for n in 0..self.loaded.trace.arrivals.len() {
-            let flow = self.loaded.trace.arrivals[n].clone();
-            if second < flow.from || second >= flow.until {
+            let arrivals = self.loaded.trace.arrivals[n].clone();
+            if second < arrivals.from || second >= arrivals.until {
                 continue;
             }
-            let expected = flow.rate * step;
+            let expected = arrivals.rate * step;
             let mut count = expected as u32;
             count += u32::from(self.rng.random_bool(expected.fract()));
             for _ in 0..count {
-                self.ask(&flow);
+                self.submit(&arrivals);
             }
         }
     }
 
-    fn ask(&mut self, flow: &Arrivals) {
+    fn submit(&mut self, arrivals: &Arrivals) {
         let model = self.model();
-        let prompt = flow
+        let prompt = arrivals
             .prompts
             .map(|p| self.rng.random_range(0..u64::from(p.max(1))));
-        // Answers vary in length, by a half to each side.
-        let tokens = self.rng.random_range(flow.tokens / 2..=flow.tokens * 3 / 2);
+        // Answer lengths vary by up to half of the mean in each direction.
+        let tokens = self
+            .rng
+            .random_range(arrivals.tokens / 2..=arrivals.tokens * 3 / 2);
         let router = self.rng.random_range(0..self.routers);
         let arrival = Arrival {
             request: RequestId::new(self.next_request),
-            customer: flow.customer.clone(),
+            customer: arrivals.customer.clone(),
             wanted: Wanted::Model(model),
             prefix: prompt,
-            deadline: Some(Millis::new(flow.due_ms)),
-            priority: flow.priority,
+            deadline: Some(Millis::new(arrivals.due_ms)),
+            priority: arrivals.priority,
             repeatable: None,
             key: None,
             body: String::new(),
             resume: None,
         };
         self.next_request += 1;
-        let due = Millis::new(flow.due_ms);
-        self.stage.ask(router, arrival, tokens.max(1), due);
+        let due = Millis::new(arrivals.due_ms);
+        self.sim.submit(router, arrival, tokens.max(1), due);
     }
 
     fn model(&self) -> thistlesill_core::Model {
--- a/crates/thistlesill-replay/src/slopes.rs
+++ b/crates/thistlesill-replay/src/slopes.rs
@@ -1,4 +1,4 @@
-//! What the decisions cost at several sizes: time, bytes and memory, for
+//! Measures what the cores' work costs at several sizes, in time and bytes, for
 //! `docs/CAPACITY.md`.
 
 mod cores;
@@ -9,7 +9,7 @@
 pub use fit::format_line;
 pub use fit::{Point, Slope};
 
-/// Measures all slopes and returns them as text.
+/// Measures all slopes and returns them as text, one line per slope.
 pub fn report() -> String {
     let mut out = String::new();
     out.push_str("processor time of the cores, per event\n");
--- a/crates/thistlesill-replay/src/slopes/cores.rs
+++ b/crates/thistlesill-replay/src/slopes/cores.rs
@@ -1,4 +1,4 @@
-//! Processor time of the cores' steps.
+//! Processor time per step of the cores.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -15,9 +15,9 @@
 };
 use thistlesill_policy::serving::derive_servers;
 
-use super::fit::{Point, Slope, micros};
+use super::fit::{Point, Slope, min_micros};
 
-/// Members of a group at the letter's size.
+/// Members per group at the size that the system is designed for.
 const MEMBERS: usize = 16;
 const NOW: Millis = Millis::new(1_000_000_000);
 const WINDOW: Millis = Millis::new(4_000);
@@ -29,9 +29,14 @@
             "router: beat without changes",
             "watcher",
             &[1, 10, 40],
-            beat_quiet,
+            unchanged_heartbeat,
+        ),
+        slope(
+            "router: roster derived",
+            "target",
+            &[48, 192, 704],
+            server_list,
         ),
-        slope("router: roster derived", "target", &[48, 192, 704], roster),
         slope(
             "router: request, sent to ended",
             "group in view",
@@ -42,19 +47,19 @@
             "watcher: report taken in",
             "target watched",
             &[16, 64, 256],
-            reported,
+            record_report,
         ),
         slope(
             "watcher: beat made",
             "target watched",
             &[16, 64, 256],
-            beat_made,
+            make_heartbeat,
         ),
         slope(
             "planner: pool placed after a death",
             "instance",
             &[50, 200, 1_000],
-            placed,
+            place_pool,
         ),
     ]
 }
@@ -99,7 +104,7 @@
     SocketAddr::from((Ipv4Addr::LOCALHOST, 1_000 + (n % 60_000) as u16))
 }
 
-/// A ready target.
+/// Returns a watcher's entry for ready target `n`.
 pub(super) fn sighting(n: usize) -> Sighting {
     Sighting {
         instance: instance(n),
@@ -114,8 +119,8 @@
     }
 }
 
-/// A beat of a watcher.
-pub(super) fn beat(seq: u64, changes: u64, changed: Vec<Sighting>) -> Heartbeat {
+/// Returns a watcher's heartbeat.
+pub(super) fn heartbeat(seq: u64, changes: u64, changed: Vec<Sighting>) -> Heartbeat {
     Heartbeat {
         seq,
         run: 1,
@@ -126,39 +131,39 @@
     }
 }
 
-/// A view of `count` targets, three watchers each.
+/// Returns a view of `count` targets, each reported by three watchers.
 fn view(count: usize) -> View {
     let mut view = View::new();
     for watcher in ["p0", "p1", "p2"] {
         let all: Vec<Sighting> = (0..count).map(sighting).collect();
-        view.apply_heartbeat(&watcher.into(), &beat(1, count as u64, all), 0, NOW);
+        view.apply_heartbeat(&watcher.into(), &heartbeat(1, count as u64, all), 0, NOW);
     }
     view
 }
 
-fn beat_quiet(watchers: usize) -> f64 {
+fn unchanged_heartbeat(watchers: usize) -> f64 {
     let mut view = View::new();
     let names: Vec<_> = (0..watchers).map(|n| format!("p{n}").into()).collect();
     for name in &names {
         let all: Vec<Sighting> = (0..54).map(sighting).collect();
-        view.apply_heartbeat(name, &beat(1, 54, all), 0, NOW);
+        view.apply_heartbeat(name, &heartbeat(1, 54, all), 0, NOW);
     }
-    micros(ROUNDS, 2_000, |n| {
+    min_micros(ROUNDS, 2_000, |n| {
         let name = &names[n % watchers];
         let seq = 2 + (n / watchers) as u64;
-        view.apply_heartbeat(name, &beat(seq, 54, Vec::new()), 0, NOW);
+        view.apply_heartbeat(name, &heartbeat(seq, 54, Vec::new()), 0, NOW);
     })
 }
 
-fn roster(count: usize) -> f64 {
+fn server_list(count: usize) -> f64 {
     let view = view(count);
-    micros(ROUNDS, 20, |_| {
-        let roster = derive_servers(&view, NOW, WINDOW);
-        assert_eq!(roster.servers.len(), count / MEMBERS);
+    min_micros(ROUNDS, 20, |_| {
+        let list = derive_servers(&view, NOW, WINDOW);
+        assert_eq!(list.servers.len(), count / MEMBERS);
     })
 }
 
-/// The settings of the slopes.
+/// Returns the settings that the routers are measured with.
 pub(super) fn tree() -> Arc<Tree> {
     let root = Branch {
         model: Some("model".into()),
@@ -174,7 +179,7 @@
     Arc::new(Tree::new(1, [("/".to_owned(), root)].into()))
 }
 
-/// A router with `groups` groups in view.
+/// Returns a router that sees `groups` ready groups.
 fn router(groups: usize) -> RouterCore {
     let options = RouterOptions {
         name: "r0".into(),
@@ -186,13 +191,13 @@
         seed: 1,
         rule: PickRule::default(),
     };
-    let mut core = RouterCore::new(options).expect("sound charts");
+    let mut core = RouterCore::new(options).expect("valid charts");
     core.step(RouterEvent::Settings(tree()), NOW);
     for watcher in ["p0", "p1", "p2"] {
         let all: Vec<Sighting> = (0..groups * MEMBERS).map(sighting).collect();
         let event = RouterEvent::Heartbeat {
             from: watcher.into(),
-            heartbeat: beat(1, all.len() as u64, all),
+            heartbeat: heartbeat(1, all.len() as u64, all),
             lag: 0,
         };
         core.step(event, NOW);
@@ -200,11 +205,11 @@
     core
 }
 
-/// One request with sixteen pieces, from its arrival to its end.
+/// Measures a request with sixteen pieces, from its arrival to its end.
 fn request(groups: usize) -> f64 {
     const PIECES: u32 = 16;
     let mut core = router(groups);
-    micros(ROUNDS, 2_000, |n| {
+    min_micros(ROUNDS, 2_000, |n| {
         let id = RequestId::new(n as u128 + 1);
         let arrival = Arrival {
             request: id,
@@ -223,7 +228,7 @@
             RouterAction::Send(d) => Some(d),
             _ => None,
         });
-        let sent = sent.expect("a request that is sent");
+        let sent = sent.expect("the request is sent");
         for offset in 0..=PIECES {
             let what = if offset < PIECES {
                 AttemptEvent::Piece {
@@ -265,7 +270,7 @@
     }
 }
 
-/// A report of a ready target.
+/// Returns the report of ready target `n`.
 pub(super) fn report(n: usize) -> Report {
     Report {
         instance: instance(n),
@@ -280,8 +285,8 @@
 
 fn watch(count: usize) -> Watch {
     let mut watch = Watch::new(1, WatchPeriods::new(Millis::new(1_000)));
-    let mine: Vec<ListedInstance> = (0..count).map(listed).collect();
-    watch.assign(&mine, NOW);
+    let assigned: Vec<ListedInstance> = (0..count).map(listed).collect();
+    watch.assign(&assigned, NOW);
     for n in 0..count {
         watch.record_report(report(n), NOW, NOW);
     }
@@ -291,24 +296,24 @@
     watch
 }
 
-fn reported(count: usize) -> f64 {
+fn record_report(count: usize) -> f64 {
     let mut watch = watch(count);
-    micros(ROUNDS, 2_000, |n| {
+    min_micros(ROUNDS, 2_000, |n| {
         let at = NOW + Millis::new(n as u64 / count as u64);
         watch.record_report(report(n % count), at, at);
     })
 }
 
-fn beat_made(count: usize) -> f64 {
+fn make_heartbeat(count: usize) -> f64 {
     let mut watch = watch(count);
-    micros(ROUNDS, 500, |_| {
-        let beat = watch.next_heartbeat(NOW);
-        assert!(beat.changed.is_empty());
+    min_micros(ROUNDS, 500, |_| {
+        let heartbeat = watch.next_heartbeat(NOW);
+        assert!(heartbeat.changed.is_empty());
     })
 }
 
-/// Places a pool in which one group has lost a member.
-fn placed(instances: usize) -> f64 {
+/// Measures the placement of a pool that misses one group because a member was lost.
+fn place_pool(instances: usize) -> f64 {
     let groups = instances / MEMBERS - 1;
     let pool = Pool {
         key: PoolKey {
@@ -341,7 +346,7 @@
         missing: 1,
         steady: Millis::ZERO,
     };
-    micros(ROUNDS, 200, |_| {
+    min_micros(ROUNDS, 200, |_| {
         let placement = place(std::slice::from_ref(&pool), NOW);
         assert!(!placement.form.is_empty());
     })
--- a/crates/thistlesill-replay/src/slopes/fit.rs
+++ b/crates/thistlesill-replay/src/slopes/fit.rs
@@ -1,33 +1,32 @@
-//! Straight lines through measured points.
+//! Linear fits through measured points.
 
 use std::fmt::Write;
 use std::time::Instant;
 
-/// A measured point: a size, and what it cost.
+/// A measured cost at one size.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Point {
-    /// The size.
+    /// The size, in the unit [`Slope::per`].
     pub size: f64,
-    /// The cost.
+    /// The cost, in [`Slope::unit`].
     pub cost: f64,
 }
 
-/// What something costs by its size.
+/// The cost of an operation as a function of its size.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Slope {
-    /// What was measured.
+    /// Name of the measured operation.
     pub name: &'static str,
-    /// The unit of the size.
+    /// Unit of the size.
     pub per: &'static str,
-    /// The unit of the cost.
+    /// Unit of the cost.
     pub unit: &'static str,
-    /// The points.
+    /// The measured points.
     pub points: Vec<Point>,
 }
 
 impl Slope {
-    /// The cost at size 0 and the cost of each further unit of size, by
-    /// least squares.
+    /// Returns the cost at size 0 and the cost per unit of size, fitted by least squares.
     pub fn fit(&self) -> (f64, f64) {
         let n = self.points.len() as f64;
         let mean = |f: fn(&Point) -> f64| self.points.iter().map(f).sum::<f64>() / n;
@@ -43,7 +42,7 @@
     }
 }
 
-/// A slope as a line of text.
+/// Formats a slope as a line with its points and its fit.
 pub fn format_line(slope: &Slope) -> String {
     let (base, each) = slope.fit();
     let mut out = format!("{:<34}", slope.name);
@@ -55,15 +54,16 @@
     out
 }
 
-/// The least time of one run of `f` over several rounds, in microseconds.
-pub(super) fn micros(rounds: usize, each: usize, mut f: impl FnMut(usize)) -> f64 {
+/// Returns the mean time of a call of `f` in the fastest of several rounds of `each` calls, in
+/// microseconds.
+pub(super) fn min_micros(rounds: usize, each: usize, mut f: impl FnMut(usize)) -> f64 {
     let mut best = f64::MAX;
     for round in 0..rounds {
-        let begun = Instant::now();
+        let started = Instant::now();
         for n in 0..each {
             f(round * each + n);
         }
-        best = best.min(begun.elapsed().as_secs_f64() * 1e6 / each as f64);
+        best = best.min(started.elapsed().as_secs_f64() * 1e6 / each as f64);
     }
     best
 }
--- a/crates/thistlesill-replay/src/slopes/messages.rs
+++ b/crates/thistlesill-replay/src/slopes/messages.rs
@@ -1,22 +1,22 @@
-//! Bytes of messages between daemons, and the time to seal and open them.
+//! Sizes of messages between daemons, and the time to seal and open datagrams.
 
 use thistlesill_core::message::{CustomerUsage, Datagram, Gauge, PeerBody, Usage};
 use thistlesill_core::report::{CacheEvent, Pressure};
 use thistlesill_core::seal::SharedKey;
 use thistlesill_core::{Millis, Stamp};
 
-use super::cores::{beat, report, sighting};
-use super::fit::{Point, Slope, micros};
+use super::cores::{heartbeat, report, sighting};
+use super::fit::{Point, Slope, min_micros};
 
 pub(super) fn slopes() -> Vec<Slope> {
     vec![
         bytes("beat: changed sightings", "sighting", &[0, 4, 12], |n| {
-            PeerBody::Beat(beat(9, 9, (0..n).map(sighting).collect()))
+            PeerBody::Beat(heartbeat(9, 9, (0..n).map(sighting).collect()))
         }),
         bytes("beat: gauges of leaders", "gauge", &[0, 4, 24], |n| {
-            let mut beat = beat(9, 9, Vec::new());
-            beat.gauges = (0..n).map(gauge).collect();
-            PeerBody::Beat(beat)
+            let mut heartbeat = heartbeat(9, 9, Vec::new());
+            heartbeat.gauges = (0..n).map(gauge).collect();
+            PeerBody::Beat(heartbeat)
         }),
         bytes("usage: customers", "customer", &[0, 10, 100], |n| {
             let customers = (0..n).map(|n| CustomerUsage {
@@ -30,7 +30,7 @@
         bytes("head", "message", &[1], |_| PeerBody::Head {
             revision: 123_456,
         }),
-        probe_answer(),
+        report_size(),
         sealing(),
         opening(),
     ]
@@ -51,8 +51,8 @@
     }
 }
 
-/// The body of a target's report, by the cache events in it.
-fn probe_answer() -> Slope {
+/// Measures the size of a target's report by its number of cache events.
+fn report_size() -> Slope {
     let point = |events: usize| {
         let mut report = report(0);
         report.cache = (0..events)
@@ -62,7 +62,7 @@
                 added: true,
             })
             .collect();
-        let body = serde_json::to_vec(&report).expect("reports encode");
+        let body = serde_json::to_vec(&report).expect("a report is valid JSON");
         Point {
             size: events as f64,
             cost: body.len() as f64,
@@ -109,8 +109,12 @@
     }
 }
 
-fn filled(n: usize) -> Datagram {
-    datagram(PeerBody::Beat(beat(9, 9, (0..n).map(sighting).collect())))
+fn heartbeat_datagram(n: usize) -> Datagram {
+    datagram(PeerBody::Beat(heartbeat(
+        9,
+        9,
+        (0..n).map(sighting).collect(),
+    )))
 }
 
 fn timed(name: &'static str, cost: impl Fn(usize) -> f64) -> Slope {
@@ -129,8 +133,8 @@
 fn sealing() -> Slope {
     let key = key();
     timed("datagram sealed", |n| {
-        let datagram = filled(n);
-        micros(5, 2_000, |_| {
+        let datagram = heartbeat_datagram(n);
+        min_micros(5, 2_000, |_| {
             assert!(!key.seal(&datagram).is_empty());
         })
     })
@@ -139,8 +143,8 @@
 fn opening() -> Slope {
     let key = key();
     timed("datagram opened", |n| {
-        let bytes = key.seal(&filled(n));
-        micros(5, 2_000, |_| {
+        let bytes = key.seal(&heartbeat_datagram(n));
+        min_micros(5, 2_000, |_| {
             assert!(key.open::<Datagram>(&bytes).is_ok());
         })
     })
--- a/crates/thistlesill-replay/src/slopes/settings.rs
+++ b/crates/thistlesill-replay/src/slopes/settings.rs
@@ -1,4 +1,5 @@
-//! Settings at large trees: time to resolve, check and take over, and bytes.
+//! Time to resolve, check and build settings trees, and the size of their message, by number of
+//! branches.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +7,7 @@
 use thistlesill_core::seal::SharedKey;
 use thistlesill_core::settings::{Branch, Context, Cover, Tree, check};
 
-use super::fit::{Point, Slope, micros};
+use super::fit::{Point, Slope, min_micros};
 
 const SIZES: [usize; 3] = [100, 1_000, 10_000];
 
@@ -14,18 +15,18 @@
     vec![
         slope("tree: resolved for a customer", "us", |n| {
             let tree = Tree::new(1, branches(n));
-            micros(5, 500, |i| {
+            min_micros(5, 500, |i| {
                 let context = Context::customer(format!("c{}", i % n).into());
                 assert!(tree.resolve(&context).slots.is_some());
             })
         }),
         slope("tree: checked", "us", |n| {
             let branches = branches(n);
-            micros(3, 2, |_| assert!(check(&branches).is_empty()))
+            min_micros(3, 2, |_| assert!(check(&branches).is_empty()))
         }),
         slope("tree: built", "us", |n| {
             let branches = branches(n);
-            micros(3, 2, |_| {
+            min_micros(3, 2, |_| {
                 assert_eq!(Tree::new(1, branches.clone()).revision(), 1);
             })
         }),
@@ -45,7 +46,7 @@
 fn branches(count: usize) -> BTreeMap<String, Branch> {
     let text = include_str!("../../../../deploy/association/settings.jsonc");
     let file = thistlesill_core::settings::parse_file("association", text);
-    let root = file.expect("a sound tree").branches["/"].clone();
+    let root = file.expect("a valid settings file").branches["/"].clone();
     let mut branches = BTreeMap::from([("/".to_owned(), root)]);
     for n in 1..count {
         let branch = Branch {
--- a/crates/thistlesill-replay/src/stage.rs
+++ b/crates/thistlesill-replay/src/stage.rs
@@ -1,4 +1,4 @@
-//! Cores around the fakes, in virtual time.
+//! A simulation of planners and routers around fake targets and a fake table, in virtual time.
 
 mod daemons;
 mod failures;
@@ -29,75 +29,75 @@
 
 use self::engine::EngineLoad;
 pub use self::engine::EngineModel;
-pub use self::requests::{Answer, Asked, Tally};
+pub use self::requests::{Answer, RequestRecord, Tally};
 
-/// Virtual time at the start.
+/// Virtual time at the start of a simulation.
 const START: Millis = Millis::new(1_000_000_000);
-/// Between two steps.
+/// Virtual time that one step takes.
 pub const STEP: Millis = Millis::new(50);
 
-/// How the table behaves.
+/// Failure mode of the table.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TableMode {
-    /// As it should.
+    /// Every call is carried out and answered.
     #[default]
     Up,
-    /// Does nothing and does not answer.
+    /// No call is carried out or answered.
     Down,
-    /// Does what it is asked, and the answer is lost.
+    /// Transactions are carried out, but their answers are lost; reads are answered.
     LoseAnswers,
 }
 
-/// Whether something runs.
+/// Whether an instance or a daemon runs.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Power {
-    /// It runs.
+    /// It runs and answers.
     #[default]
     On,
-    /// It stands still.
+    /// It is paused: it keeps its state, but does and answers nothing.
     Paused,
-    /// It is dead.
+    /// It is killed; its state is lost.
     Off,
 }
 
-/// What to seat.
+/// The options of a [`Simulation`].
 #[derive(Debug, Clone)]
-pub struct StageOptions {
-    /// The region.
+pub struct SimulationOptions {
+    /// Region of all daemons.
     pub region: RegionId,
-    /// The instances.
-    pub places: Vec<ListedInstance>,
-    /// The settings.
+    /// Instances of the fleet; their addresses are replaced.
+    pub instances: Vec<ListedInstance>,
+    /// Settings in force from the start.
     pub tree: Arc<Tree>,
-    /// A planner for each.
-    pub planners: Vec<Seat>,
-    /// A router for each.
-    pub routers: Vec<Seat>,
+    /// Planners to create.
+    pub planners: Vec<DaemonSpec>,
+    /// Routers to create.
+    pub routers: Vec<DaemonSpec>,
     /// Whether targets refuse stale orders.
-    pub checks: bool,
-    /// How groups are formed.
+    pub checks_orders: bool,
+    /// Strategy that the planners use to form groups.
     pub strategy: Strategy,
-    /// How groups are picked.
+    /// Rule that the routers use to pick a group.
     pub rule: PickRule,
-    /// How engines behave.
-    pub model: EngineModel,
-    /// Seed of all random sources.
+    /// Behaviour of the engines.
+    pub engine: EngineModel,
+    /// Seed of the routers' random sources.
     pub seed: u64,
 }
 
-/// A daemon's name and hall.
+/// Name and hall of a daemon.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Seat {
-    /// Its name.
+pub struct DaemonSpec {
+    /// Name of the daemon.
     pub name: NodeId,
-    /// Its hall.
+    /// Hall in which the daemon runs.
     pub hall: HallId,
 }
 
-impl Seat {
-    /// A daemon in a hall.
+impl DaemonSpec {
+    /// Creates the description of a daemon in a hall.
     pub fn new(name: &str, hall: &str) -> Self {
         Self {
             name: name.into(),
@@ -106,120 +106,120 @@
     }
 }
 
-/// An order that was held back on its way.
+/// An order held back on its way; see [`Simulation::hold_orders`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HeldOrder {
-    /// Who gave it.
+    /// Index of the planner that sent the order.
     pub planner: usize,
-    /// The hall that it was given for.
+    /// Hall that the planner sent the order for.
     pub hall: HallId,
-    /// The order.
+    /// The order itself.
     pub order: Order,
 }
 
 struct Daemon<C> {
-    seat: Seat,
+    spec: DaemonSpec,
     core: C,
     power: Power,
-    /// Whether it is cut off from its peers.
-    cut: bool,
+    /// Whether it neither sends messages to peers nor receives them.
+    isolated: bool,
     clock: HybridClock,
-    /// What reached it while it stood still.
-    inbox: Vec<Mail>,
+    /// Messages that it has not processed yet, such as those received while paused.
+    inbox: Vec<Message>,
 }
 
 #[derive(Debug, Clone)]
-enum Mail {
-    Beat(NodeId, Heartbeat, Millis),
+enum Message {
+    Heartbeat(NodeId, Heartbeat, Millis),
     Digest(NodeId, Digest, Millis),
     Usage(NodeId, Usage),
     Fatal(Fatal),
-    Want(NodeId),
+    DigestRequest(NodeId),
 }
 
-struct Body {
+struct SimulatedInstance {
     target: Target,
-    place: ListedInstance,
+    listed: ListedInstance,
     power: Power,
     loading: Option<(Millis, Membership)>,
     warming: Option<(Millis, Load)>,
     load: EngineLoad,
 }
 
-/// Cores around fakes.
-pub struct Stage {
-    options: StageOptions,
+/// Cores of planners and routers, connected to fake targets and a fake table.
+pub struct Simulation {
+    options: SimulationOptions,
     now: Millis,
     table: Table,
-    mode: TableMode,
+    table_mode: TableMode,
     listed: Vec<ListedInstance>,
-    frozen: bool,
+    list_frozen: bool,
     leaving: BTreeSet<InstanceId>,
-    bodies: BTreeMap<InstanceId, Body>,
+    instances: BTreeMap<InstanceId, SimulatedInstance>,
     planners: Vec<Daemon<PlannerCore>>,
     routers: Vec<Daemon<RouterCore>>,
-    holding: bool,
-    held: Vec<HeldOrder>,
+    holds_orders: bool,
+    held_orders: Vec<HeldOrder>,
     records: Vec<Record>,
     orders: u64,
     tally: Tally,
-    asked: BTreeMap<thistlesill_core::RequestId, Asked>,
+    requests: BTreeMap<thistlesill_core::RequestId, RequestRecord>,
     runs: BTreeMap<String, u32>,
 }
 
-impl Stage {
-    /// Seats everything; nothing has happened yet.
+impl Simulation {
+    /// Creates all daemons and targets and puts the settings in force; no time has passed yet.
     ///
     /// # Panics
     ///
-    /// If a state chart does not pass its check.
-    pub fn new(mut options: StageOptions) -> Self {
-        for (n, place) in options.places.iter_mut().enumerate() {
-            place.address = address(n);
+    /// Panics if a state chart is invalid.
+    pub fn new(mut options: SimulationOptions) -> Self {
+        for (n, listed) in options.instances.iter_mut().enumerate() {
+            listed.address = address(n);
         }
-        let bodies = options.places.iter().map(|p| {
-            let target = Target::new(p.instance.clone(), p.service.clone(), options.checks);
-            let body = Body {
+        let instances = options.instances.iter().map(|p| {
+            let target = Target::new(p.instance.clone(), p.service.clone(), options.checks_orders);
+            let instance = SimulatedInstance {
                 target,
-                place: p.clone(),
+                listed: p.clone(),
                 power: Power::On,
                 loading: None,
                 warming: None,
                 load: EngineLoad::default(),
             };
-            (p.instance.clone(), body)
+            (p.instance.clone(), instance)
         });
-        let mut stage = Self {
+        let mut simulation = Self {
             now: START,
             table: Table::default(),
-            mode: TableMode::Up,
-            listed: options.places.clone(),
-            frozen: false,
+            table_mode: TableMode::Up,
+            listed: options.instances.clone(),
+            list_frozen: false,
             leaving: BTreeSet::new(),
-            bodies: bodies.collect(),
+            instances: instances.collect(),
             planners: Vec::new(),
             routers: Vec::new(),
-            holding: false,
-            held: Vec::new(),
+            holds_orders: false,
+            held_orders: Vec::new(),
             records: Vec::new(),
             orders: 0,
             tally: Tally::default(),
-            asked: BTreeMap::new(),
+            requests: BTreeMap::new(),
             runs: BTreeMap::new(),
             options,
         };
-        for n in 0..stage.options.planners.len() {
-            let core = stage.new_planner(n);
-            let seat = stage.options.planners[n].clone();
-            stage.planners.push(daemon(seat, core));
+        for n in 0..simulation.options.planners.len() {
+            let core = simulation.new_planner(n);
+            let spec = simulation.options.planners[n].clone();
+            simulation.planners.push(daemon(spec, core));
         }
-        for n in 0..stage.options.routers.len() {
-            let core = stage.new_router(n);
-            let seat = stage.options.routers[n].clone();
-            stage.routers.push(daemon(seat, core));
+        for n in 0..simulation.options.routers.len() {
+            let core = simulation.new_router(n);
+            let spec = simulation.options.routers[n].clone();
+            simulation.routers.push(daemon(spec, core));
         }
-        stage.spread_settings();
-        stage
+        simulation.distribute_settings();
+        simulation
     }
 
     fn new_planner(&self, n: usize) -> PlannerCore {
@@ -243,7 +243,7 @@
             lease_length: Millis::new(8_000),
             strategy: self.options.strategy,
         })
-        .expect("sound charts")
+        .expect("valid charts")
     }
 
     fn new_router(&self, n: usize) -> RouterCore {
@@ -258,99 +258,104 @@
             seed: self.options.seed + n as u64,
             rule: self.options.rule,
         })
-        .expect("sound charts")
+        .expect("valid charts")
     }
 
-    /// Time since the start.
+    /// Returns the virtual time since the start.
     pub fn elapsed(&self) -> Millis {
         self.now - START
     }
 
-    /// The events of all daemons so far.
+    /// Returns the timeline records of all daemons so far.
     pub fn records(&self) -> &[Record] {
         &self.records
     }
 
-    /// Orders given so far.
+    /// Returns the number of orders that planners have sent, including those held back.
     pub const fn orders(&self) -> u64 {
         self.orders
     }
 
-    /// What became of the requests.
+    /// Returns the counts of requests by outcome.
     pub const fn tally(&self) -> &Tally {
         &self.tally
     }
 
-    /// Runs begun at targets, by request id or idempotency key.
+    /// Returns how often each request ran at a target, by request ID.
     pub const fn runs(&self) -> &BTreeMap<String, u32> {
         &self.runs
     }
 
-    /// The table.
+    /// Returns the table.
     pub const fn table(&self) -> &Table {
         &self.table
     }
 
-    /// A planner's core.
+    /// Returns the core of planner `n`.
     pub fn planner(&self, n: usize) -> &PlannerCore {
         &self.planners[n].core
     }
 
-    /// A router's core.
+    /// Returns the core of router `n`.
     pub fn router(&self, n: usize) -> &RouterCore {
         &self.routers[n].core
     }
 
-    /// The time as the cores see it.
+    /// Returns the virtual time as the cores see it.
     pub const fn now(&self) -> Millis {
         self.now
     }
 
-    /// A target.
+    /// Returns the target on an instance.
     pub fn target(&self, instance: &str) -> &Target {
-        &self.bodies[instance].target
+        &self.instances[instance].target
     }
 
-    /// The groups that are really whole, by their members' duties.
-    pub fn whole_groups(&self) -> BTreeMap<thistlesill_core::GroupId, u32> {
+    /// Returns the groups whose members are all running and ready, with their sizes. Taken from the
+    /// targets themselves, not from what daemons know of them.
+    pub fn complete_groups(&self) -> BTreeMap<thistlesill_core::GroupId, u32> {
         let mut members: BTreeMap<(thistlesill_core::GroupId, u64), (u32, u32)> = BTreeMap::new();
-        for body in self.bodies.values().filter(|b| b.power == Power::On) {
-            if let thistlesill_core::report::Duty::Ready(m) = &body.target.duty {
+        for instance in self.instances.values().filter(|i| i.power == Power::On) {
+            if let thistlesill_core::report::Duty::Ready(m) = &instance.target.duty {
                 let entry = members.entry((m.group.clone(), m.epoch)).or_default();
                 entry.0 += 1;
                 entry.1 = m.size;
             }
         }
-        let whole = members.into_iter().filter(|(_, (have, size))| have == size);
-        whole.map(|((group, _), (_, size))| (group, size)).collect()
+        let complete = members
+            .into_iter()
+            .filter(|(_, (ready, size))| ready == size);
+        complete
+            .map(|((group, _), (_, size))| (group, size))
+            .collect()
     }
 
-    /// Accelerators of healthy instances, in whole groups and in all.
+    /// Returns the accelerators of healthy instances: those in complete groups, and all.
     pub fn accelerators(&self) -> (u32, u32) {
-        let whole = self.whole_groups();
-        let healthy = self.bodies.values().filter(|b| {
-            b.power == Power::On
-                && b.place.service.is_none()
-                && !self.leaving.contains(&b.place.instance)
+        let complete = self.complete_groups();
+        let healthy = self.instances.values().filter(|i| {
+            i.power == Power::On
+                && i.listed.service.is_none()
+                && !self.leaving.contains(&i.listed.instance)
         });
         let (mut used, mut all) = (0, 0);
-        for body in healthy {
-            all += body.place.accelerators;
-            let group = body.target.duty.membership().map(|m| &m.group);
-            if group.is_some_and(|g| whole.contains_key(g)) {
-                used += body.place.accelerators;
+        for instance in healthy {
+            all += instance.listed.accelerators;
+            let group = instance.target.duty.membership().map(|m| &m.group);
+            if group.is_some_and(|g| complete.contains_key(g)) {
+                used += instance.listed.accelerators;
             }
         }
         (used, all)
     }
 }
 
-const fn daemon<C>(seat: Seat, core: C) -> Daemon<C> {
+const fn daemon<C>(spec: DaemonSpec, core: C) -> Daemon<C> {
     Daemon {
-        seat,
+        spec,
         core,
         power: Power::On,
-        cut: false,
+        isolated: false,
         clock: HybridClock::new(),
         inbox: Vec::new(),
     }
--- a/crates/thistlesill-replay/src/stage/daemons.rs
+++ b/crates/thistlesill-replay/src/stage/daemons.rs
@@ -1,23 +1,23 @@
-//! The daemons: their cores stepped, their actions carried out.
+//! Steps the daemons' cores and carries out their actions.
 
 use thistlesill_core::timeline::{Record, TimelineEvent};
 use thistlesill_policy::planner::{PlannerAction, PlannerEvent};
 use thistlesill_policy::router::{RouterAction, RouterEvent};
 
-use super::{Mail, Power, Stage};
+use super::{Message, Power, Simulation};
 
-impl Stage {
+impl Simulation {
     pub(super) fn planner_step(&mut self, n: usize, event: PlannerEvent) {
         if self.planners[n].power != Power::On {
             return;
         }
         let actions = self.planners[n].core.step(event, self.now);
         for action in actions {
-            self.planner_act(n, action);
+            self.apply_planner_action(n, action);
         }
     }
 
-    pub(super) fn planner_act(&mut self, n: usize, action: PlannerAction) {
+    pub(super) fn apply_planner_action(&mut self, n: usize, action: PlannerAction) {
         match action {
             PlannerAction::Probe(address) => {
                 if let Some(report) = self.report(address) {
@@ -43,23 +43,23 @@
                 let rows = self.read(prefixes);
                 self.planner_step(n, PlannerEvent::RowsRead { hall, flight, rows });
             }
-            PlannerAction::SendOrder { hall, order, .. } => self.give_or_hold(n, hall, order),
-            PlannerAction::SendHeartbeat(beat) => self.tell_beat(n, &beat),
+            PlannerAction::SendOrder { hall, order, .. } => self.send_order(n, hall, order),
+            PlannerAction::SendHeartbeat(heartbeat) => self.send_heartbeat(n, &heartbeat),
             PlannerAction::SendDigest { to, parts } => {
                 for part in parts {
-                    let from = self.planners[n].seat.name.clone();
-                    self.post(n, &to, Mail::Digest(from, part, self.now));
+                    let from = self.planners[n].spec.name.clone();
+                    self.send_to(n, &to, Message::Digest(from, part, self.now));
                 }
             }
             PlannerAction::RequestDigest(to) => {
-                let from = self.planners[n].seat.name.clone();
-                self.post(n, &to, Mail::Want(from));
+                let from = self.planners[n].spec.name.clone();
+                self.send_to(n, &to, Message::DigestRequest(from));
             }
             PlannerAction::Note(what) => {
                 let wall = self.now.get();
                 let daemon = &mut self.planners[n];
                 let stamp = daemon.clock.tick(wall);
-                let node = daemon.seat.name.clone();
+                let node = daemon.spec.name.clone();
                 self.records.push(Record { stamp, node, what });
             }
             PlannerAction::SendHead(_) | PlannerAction::Exit => {}
@@ -72,11 +72,11 @@
         }
         let actions = self.routers[n].core.step(event, self.now);
         for action in actions {
-            self.router_act(n, action);
+            self.apply_router_action(n, action);
         }
     }
 
-    pub(super) fn router_act(&mut self, n: usize, action: RouterAction) {
+    pub(super) fn apply_router_action(&mut self, n: usize, action: RouterAction) {
         match action {
             RouterAction::SendTxn { flight, txn } => {
                 let result = self.txn(&txn);
@@ -87,39 +87,39 @@
                 self.router_step(n, RouterEvent::RowsRead { flight, rows });
             }
             RouterAction::RequestDigest(to) => {
-                let from = self.routers[n].seat.name.clone();
-                let planner = self.planners.iter().position(|p| p.seat.name == to);
-                if let Some(p) = planner.filter(|p| !self.planners[*p].cut) {
-                    self.deliver_to_planner(p, Mail::Want(from));
+                let from = self.routers[n].spec.name.clone();
+                let planner = self.planners.iter().position(|p| p.spec.name == to);
+                if let Some(p) = planner.filter(|p| !self.planners[*p].isolated) {
+                    self.deliver_to_planner(p, Message::DigestRequest(from));
                 }
             }
             RouterAction::SendUsage(usage) => {
-                let from = self.routers[n].seat.name.clone();
+                let from = self.routers[n].spec.name.clone();
                 for other in (0..self.routers.len()).filter(|o| *o != n) {
-                    let mail = Mail::Usage(from.clone(), usage.clone());
-                    self.deliver_to_router(other, mail);
+                    let message = Message::Usage(from.clone(), usage.clone());
+                    self.deliver_to_router(other, message);
                 }
             }
-            RouterAction::SendFatal(told) => {
+            RouterAction::SendFatal(fatal) => {
                 for other in (0..self.routers.len()).filter(|o| *o != n) {
-                    self.deliver_to_router(other, Mail::Fatal(told.clone()));
+                    self.deliver_to_router(other, Message::Fatal(fatal.clone()));
                 }
             }
             RouterAction::Note(what) => {
                 let wall = self.now.get();
                 let daemon = &mut self.routers[n];
                 let stamp = daemon.clock.tick(wall);
-                let node = daemon.seat.name.clone();
-                self.note_request(&what);
+                let node = daemon.spec.name.clone();
+                self.count_attempt(&what);
                 self.records.push(Record { stamp, node, what });
             }
             RouterAction::SendHead(_) | RouterAction::Exit => {}
-            other => self.request_act(n, other),
+            other => self.apply_request_action(n, other),
         }
     }
 
-    /// Counts what the router notes of attempts.
-    pub(super) fn note_request(&mut self, what: &TimelineEvent) {
+    /// Counts an attempt that a router records.
+    pub(super) fn count_attempt(&mut self, what: &TimelineEvent) {
         if let TimelineEvent::Sent { attempt, .. } = what {
             self.tally.attempts += 1;
             self.tally.retries += u64::from(*attempt > 1);
--- a/crates/thistlesill-replay/src/stage/engine.rs
+++ b/crates/thistlesill-replay/src/stage/engine.rs
@@ -1,5 +1,5 @@
-//! The engines on the stage: requests run in slots, tokens take longer the
-//! more of them run, and all members must be there.
+//! The engines of the simulation. A group runs requests in a limited number of slots, only while
+//! all its members are running, and each token takes longer the more requests run.
 
 use std::collections::VecDeque;
 
@@ -10,31 +10,31 @@
 use thistlesill_policy::router::AttemptEvent;
 use thistlesill_policy::serving::GroupKey;
 
-use super::{Body, Power, STEP, Stage};
+use super::{Power, STEP, SimulatedInstance, Simulation};
 
-/// Tokens in a piece of an answer.
-const PIECE: u64 = 50;
+/// Tokens per piece of an answer after the first.
+const TOKENS_PER_PIECE: u64 = 50;
 
-/// Part of the prefill that a cached prefix leaves, in hundredths.
-const CACHED_PREFILL: u64 = 40;
-/// Prefixes that fit into an engine's cache.
+/// Part of the prefill that is left when the prefix is cached, in percent.
+const CACHED_PREFILL_PERCENT: u64 = 40;
+/// Capacity of an engine's prefix cache.
 const MAX_PREFIXES: usize = 24;
 
-/// How the engines behave.
+/// The behaviour of the engines.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct EngineModel {
-    /// Requests that a group runs at a time.
+    /// Requests that a group runs at the same time.
     pub slots: u32,
-    /// Time to the first token of a request that runs.
+    /// Time to the first token, from the start of a request that runs alone.
     pub prefill: Millis,
-    /// Time per token of one request alone.
+    /// Time per token of a request that runs alone.
     pub token: Millis,
-    /// Added to the time per token for each other request, in hundredths.
+    /// Increase of all times for each further request that runs, in percent.
     pub crowding: u64,
     /// Time to load weights.
     pub load: Millis,
-    /// How much reports lag.
+    /// Age of the load figures in reports.
     pub lag: Millis,
 }
 
@@ -51,7 +51,7 @@
     }
 }
 
-/// One request at an engine.
+/// An attempt that waits or runs at an engine.
 #[derive(Debug, Clone)]
 pub(super) struct Run {
     pub(super) router: usize,
@@ -59,25 +59,26 @@
     pub(super) attempt: u32,
     pub(super) key: GroupKey,
     pub(super) priority: u8,
-    turn: u64,
-    /// Work left to the first token and to the end, in thousandths of a
-    /// millisecond alone.
+    sequence: u64,
+    /// Work left until the first token. Work is counted in microseconds of a request that runs
+    /// alone.
     prefill: u64,
+    /// Work left for the tokens after the prefill.
     tokens: u64,
     prefix: Option<u64>,
-    /// Work of the whole answer after its first token.
-    whole: u64,
-    /// Pieces that were sent.
+    /// Work of all tokens of the answer, without the prefill.
+    total_tokens: u64,
+    /// Number of pieces sent so far.
     pieces: u32,
 }
 
-/// An engine's requests.
+/// The requests of one engine.
 #[derive(Debug, Clone, Default)]
 pub(super) struct EngineLoad {
     pub(super) slowness: u32,
     running: Vec<Run>,
     waiting: Vec<Run>,
-    turns: u64,
+    last_sequence: u64,
     pub(super) cache: PrefixCache,
     history: VecDeque<(Millis, Pressure)>,
 }
@@ -91,7 +92,7 @@
         }
     }
 
-    pub(super) fn lagged(&mut self, now: Millis, lag: Millis) -> Pressure {
+    pub(super) fn delayed_pressure(&mut self, now: Millis, lag: Millis) -> Pressure {
         self.history.push_back((now, self.pressure()));
         while self.history.len() > 1 && now - self.history[1].0 >= lag {
             self.history.pop_front();
@@ -103,64 +104,64 @@
         }
     }
 
-    pub(super) fn enter(&mut self, mut run: Run) {
-        self.turns += 1;
-        run.turn = self.turns;
+    pub(super) fn enqueue(&mut self, mut run: Run) {
+        self.last_sequence += 1;
+        run.sequence = self.last_sequence;
         self.waiting.push(run);
     }
 
-    pub(super) fn drop_run(&mut self, request: RequestId) {
+    pub(super) fn cancel(&mut self, request: RequestId) {
         self.running.retain(|r| r.request != request);
         self.waiting.retain(|r| r.request != request);
     }
 
-    fn take_all(&mut self) -> Vec<Run> {
+    fn take_runs(&mut self) -> Vec<Run> {
         let mut all = std::mem::take(&mut self.running);
         all.append(&mut self.waiting);
         all
     }
 
-    /// Starts waiting requests in free slots, by priority and turn.
+    /// Starts waiting requests in free slots, by priority and then in order of arrival, and returns
+    /// them.
     fn fill(&mut self, slots: u32) -> Vec<RequestId> {
-        let mut begun = Vec::new();
-        self.waiting.sort_by_key(|r| (r.priority, r.turn));
+        let mut started = Vec::new();
+        self.waiting.sort_by_key(|r| (r.priority, r.sequence));
         while self.running.len() < slots as usize && !self.waiting.is_empty() {
             let mut run = self.waiting.remove(0);
             if run
                 .prefix
                 .is_some_and(|p| self.cache.touch(p, MAX_PREFIXES))
             {
-                run.prefill = run.prefill * CACHED_PREFILL / 100;
+                run.prefill = run.prefill * CACHED_PREFILL_PERCENT / 100;
             }
-            begun.push(run.request);
+            started.push(run.request);
             self.running.push(run);
         }
-        begun
+        started
     }
 
-    /// Lets a step of work pass; returns the runs with a new piece and those
-    /// that ended.
+    /// Does the work of one [`STEP`]. Returns the runs with a new piece and those that ended.
     fn work(&mut self, model: &EngineModel, slowness: u32) -> (Vec<Run>, Vec<Run>) {
         let others = self.running.len().saturating_sub(1) as u64;
-        let crowd = 100 + model.crowding * others;
-        let done = STEP.get() * 1_000 * 100 / crowd / u64::from(slowness.max(1));
-        let mut first = Vec::new();
+        let time_percent = 100 + model.crowding * others;
+        let done = STEP.get() * 1_000 * 100 / time_percent / u64::from(slowness.max(1));
+        let mut with_piece = Vec::new();
         for run in &mut self.running {
             let mut left = done;
-            let spent = run.prefill.min(left);
-            run.prefill -= spent;
-            left -= spent;
+            let prefilled = run.prefill.min(left);
+            run.prefill -= prefilled;
+            left -= prefilled;
             run.tokens = run.tokens.saturating_sub(left);
             if run.prefill == 0 && run.pieces < run.due_pieces(model) {
                 run.pieces += 1;
-                first.push(run.clone());
+                with_piece.push(run.clone());
             }
         }
         let (ended, running) = std::mem::take(&mut self.running)
             .into_iter()
             .partition(|r| r.prefill == 0 && r.tokens == 0);
         self.running = running;
-        (first, ended)
+        (with_piece, ended)
     }
 }
 
@@ -180,121 +181,121 @@
             attempt,
             key,
             priority,
-            turn: 0,
+            sequence: 0,
             prefill: model.prefill.get() * 1_000,
             tokens: model.token.get() * 1_000 * tokens as u64,
             prefix: None,
-            whole: model.token.get() * 1_000 * tokens as u64,
+            total_tokens: model.token.get() * 1_000 * tokens as u64,
             pieces: 0,
         }
     }
 
-    /// The same run with a prefix.
+    /// Sets the prefix of the prompt.
     pub(super) const fn with_prefix(mut self, prefix: Option<u64>) -> Self {
         self.prefix = prefix;
         self
     }
 
-    /// Pieces that should have been sent by now: one, and another for every
-    /// [`PIECE`] tokens.
+    /// Returns how many pieces should have been sent by now: one, plus one per
+    /// [`TOKENS_PER_PIECE`] tokens.
     fn due_pieces(&self, model: &EngineModel) -> u32 {
-        let each = PIECE * model.token.get().max(1) * 1_000;
-        1 + ((self.whole - self.tokens) / each) as u32
+        let work_per_piece = TOKENS_PER_PIECE * model.token.get().max(1) * 1_000;
+        1 + ((self.total_tokens - self.tokens) / work_per_piece) as u32
     }
 }
 
-impl Stage {
-    /// Lets all engines work for a step.
+impl Simulation {
+    /// Runs all engines for one step.
     pub(super) fn run_engines(&mut self) {
-        let names: Vec<InstanceId> = self.bodies.keys().cloned().collect();
-        for name in names {
-            let Some(member) = self.leads(&name) else {
+        let ids: Vec<InstanceId> = self.instances.keys().cloned().collect();
+        for id in ids {
+            let Some(member) = self.leader_membership(&id) else {
                 continue;
             };
-            let Some(slowness) = self.slowness_if_whole(&member) else {
+            let Some(slowness) = self.slowness_if_complete(&member) else {
                 continue;
             };
-            let model = self.options.model.clone();
-            let Some(body) = self.bodies.get_mut(&name) else {
+            let model = self.options.engine.clone();
+            let Some(state) = self.instances.get_mut(&id) else {
                 continue;
             };
-            let begun = body.load.fill(model.slots);
-            let (first, ended) = body.load.work(&model, slowness);
-            for request in begun {
+            let started = state.load.fill(model.slots);
+            let (with_piece, ended) = state.load.work(&model, slowness);
+            for request in started {
                 *self.runs.entry(request.to_string()).or_default() += 1;
             }
-            for run in first {
-                self.tell_piece(&run);
+            for run in with_piece {
+                self.send_piece(&run);
             }
             for run in ended {
-                self.tell_end(&run);
+                self.send_end(&run);
             }
         }
     }
 
-    /// The membership of a running leader.
-    fn leads(&self, instance: &InstanceId) -> Option<Membership> {
-        let body = self.bodies.get(instance)?;
-        match &body.target.duty {
-            Duty::Ready(m) | Duty::Draining(m) if m.rank == 0 && body.power == Power::On => {
+    /// Returns the membership of an instance that is a running leader.
+    fn leader_membership(&self, instance: &InstanceId) -> Option<Membership> {
+        let state = self.instances.get(instance)?;
+        match &state.target.duty {
+            Duty::Ready(m) | Duty::Draining(m) if m.rank == 0 && state.power == Power::On => {
                 Some(m.clone())
             }
             _ => None,
         }
     }
 
-    /// How slow a group is, by its slowest member; `None` unless all are
-    /// there.
-    fn slowness_if_whole(&self, member: &Membership) -> Option<u32> {
-        let in_group = |b: &&Body| {
-            let same = b
+    /// Returns the slowness factor of a group's slowest member, or `None` unless all members are
+    /// running and serve.
+    fn slowness_if_complete(&self, member: &Membership) -> Option<u32> {
+        let in_group = |i: &&SimulatedInstance| {
+            let same = i
                 .target
                 .duty
                 .membership()
                 .is_some_and(|m| m.group == member.group && m.epoch == member.epoch);
-            let serving = matches!(b.target.duty, Duty::Ready(_) | Duty::Draining(_));
-            same && serving && b.power == Power::On
+            let serving = matches!(i.target.duty, Duty::Ready(_) | Duty::Draining(_));
+            same && serving && i.power == Power::On
         };
-        let members: Vec<&Body> = self.bodies.values().filter(in_group).collect();
+        let members: Vec<&SimulatedInstance> = self.instances.values().filter(in_group).collect();
         if members.len() as u32 != member.size {
             return None;
         }
-        members.iter().map(|b| b.load.slowness.max(1)).max()
+        members.iter().map(|i| i.load.slowness.max(1)).max()
     }
 
-    fn tell_piece(&mut self, run: &Run) {
+    fn send_piece(&mut self, run: &Run) {
         let what = AttemptEvent::Piece {
             request: run.request,
             key: run.key.clone(),
             offset: run.pieces - 1,
             text: "piece".into(),
         };
-        self.tell_attempt(run, what);
+        self.send_attempt_event(run, what);
     }
 
-    fn tell_end(&mut self, run: &Run) {
+    fn send_end(&mut self, run: &Run) {
         let what = AttemptEvent::End {
             request: run.request,
             key: run.key.clone(),
             count: run.pieces,
             reason: "stop".into(),
         };
-        self.tell_attempt(run, what);
+        self.send_attempt_event(run, what);
     }
 
-    /// Breaks all connections to an instance.
+    /// Breaks the connections of all requests at an instance.
     pub(super) fn break_runs(&mut self, instance: &str) {
-        let Some(body) = self.bodies.get_mut(instance) else {
+        let Some(state) = self.instances.get_mut(instance) else {
             return;
         };
-        for run in body.load.take_all() {
-            self.tell_attempt(&run, AttemptEvent::Broken);
+        for run in state.load.take_runs() {
+            self.send_attempt_event(&run, AttemptEvent::Broken);
         }
     }
 
-    /// Breaks the connections of runs whose group an instance has left.
+    /// Breaks the connections of all requests at an instance that is no longer a running leader.
     pub(super) fn check_runs(&mut self, instance: &InstanceId) {
-        if self.leads(instance).is_none() {
+        if self.leader_membership(instance).is_none() {
             self.break_runs(instance.as_str());
         }
     }
--- a/crates/thistlesill-replay/src/stage/platform.rs
+++ b/crates/thistlesill-replay/src/stage/platform.rs
@@ -1,4 +1,4 @@
-//! The platform and the targets, as far as daemons reach them.
+//! The calls that daemons make to the table and to the targets.
 
 use std::net::SocketAddr;
 
@@ -7,11 +7,11 @@
 use thistlesill_core::table::{Read, RowKey, Rows, Txn, TxnResult};
 use thistlesill_policy::planner::PlannerEvent;
 
-use super::{Body, HeldOrder, Power, STEP, Stage, TableMode};
+use super::{HeldOrder, Power, STEP, SimulatedInstance, Simulation, TableMode};
 
-impl Stage {
+impl Simulation {
     pub(super) fn txn(&mut self, txn: &Txn) -> TxnResult {
-        match self.mode {
+        match self.table_mode {
             TableMode::Down => TxnResult::Unknown,
             TableMode::Up => TxnResult::Replied(self.table.txn(txn)),
             TableMode::LoseAnswers => {
@@ -22,65 +22,69 @@
     }
 
     pub(super) fn read(&mut self, prefixes: Vec<RowKey>) -> Option<Rows> {
-        (self.mode != TableMode::Down).then(|| self.table.read(&Read { prefixes }))
+        (self.table_mode != TableMode::Down).then(|| self.table.read(&Read { prefixes }))
     }
 
     pub(super) fn report(&mut self, address: SocketAddr) -> Option<Report> {
         let now = self.now;
-        let lag = self.options.model.lag;
-        let body = self.body_at(address)?;
-        if body.power != Power::On {
+        let lag = self.options.engine.lag;
+        let instance = self.instance_at(address)?;
+        if instance.power != Power::On {
             return None;
         }
-        let pressure = body.load.lagged(now, lag);
-        let cache = body.load.cache.events();
+        let pressure = instance.load.delayed_pressure(now, lag);
+        let cache = instance.load.cache.events();
         Some(Report {
             cache,
-            ..body.target.report(pressure)
+            ..instance.target.report(pressure)
         })
     }
 
-    pub(super) fn body_at(&mut self, address: SocketAddr) -> Option<&mut Body> {
-        let mut bodies = self.bodies.values_mut();
-        bodies.find(|b| b.place.address == address)
+    pub(super) fn instance_at(&mut self, address: SocketAddr) -> Option<&mut SimulatedInstance> {
+        let mut instances = self.instances.values_mut();
+        instances.find(|i| i.listed.address == address)
     }
 
-    pub(super) fn give_or_hold(&mut self, planner: usize, hall: HallId, order: Order) {
+    pub(super) fn send_order(&mut self, planner: usize, hall: HallId, order: Order) {
         self.orders += 1;
-        if self.holding {
-            self.held.push(HeldOrder {
+        if self.holds_orders {
+            self.held_orders.push(HeldOrder {
                 planner,
                 hall,
                 order,
             });
         } else {
-            self.give(planner, &hall, &order);
+            self.deliver_order(planner, &hall, &order);
         }
     }
 
-    pub(super) fn give(&mut self, planner: usize, hall: &HallId, order: &Order) {
+    pub(super) fn deliver_order(&mut self, planner: usize, hall: &HallId, order: &Order) {
         let now = self.now;
-        let load = self.options.model.load;
-        let Some(body) = self.bodies.get_mut(&order.instance) else {
+        let load = self.options.engine.load;
+        let Some(instance) = self.instances.get_mut(&order.instance) else {
             return;
         };
         let mut reply = None;
-        if body.power == Power::On {
-            let was = body.target.duty.membership().cloned();
-            reply = Some(body.target.apply_order(order));
+        if instance.power == Power::On {
+            let before = instance.target.duty.membership().cloned();
+            reply = Some(instance.target.apply_order(order));
             if let Task::Join(m) = &order.task
-                && body.target.duty.membership() == Some(m)
-                && was.as_ref() != Some(m)
+                && instance.target.duty.membership() == Some(m)
+                && before.as_ref() != Some(m)
             {
-                let wait = if body.target.is_warm(m) { STEP } else { load };
-                body.loading = Some((now + wait, m.clone()));
+                let duration = if instance.target.is_warm(m) {
+                    STEP
+                } else {
+                    load
+                };
+                instance.loading = Some((now + duration, m.clone()));
             }
-            if let Task::Warm { load: wanted } = &order.task {
-                body.warming = Some((now + load, wanted.clone()));
+            if let Task::Warm { load: weights } = &order.task {
+                instance.warming = Some((now + load, weights.clone()));
             }
         }
-        let changed = order.instance.clone();
-        self.check_runs(&changed);
+        let id = order.instance.clone();
+        self.check_runs(&id);
         let event = PlannerEvent::Answered {
             hall: hall.clone(),
             instance: order.instance.clone(),
--- a/crates/thistlesill-replay/src/stage/requests.rs
+++ b/crates/thistlesill-replay/src/stage/requests.rs
@@ -1,4 +1,4 @@
-//! Requests on the stage: callers, attempts, and what became of them.
+//! Requests in the simulation: their attempts and outcomes.
 
 use std::collections::BTreeMap;
 
@@ -11,63 +11,63 @@
 };
 
 use super::engine::Run;
-use super::{Power, Stage};
+use super::{Power, Simulation};
 
-/// What became of a request.
+/// The outcome of a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Answer {
-    /// It was answered whole.
+    /// It was answered completely.
     Whole,
-    /// It was answered with a record of an earlier run.
+    /// It was answered with the recorded outcome of an earlier run with the same key.
     Recorded,
-    /// It failed.
+    /// It failed with an error.
     Failed(ErrorKind),
 }
 
-/// A request that was asked.
+/// A request that was sent to a router.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Asked {
-    /// Who asked.
+pub struct RequestRecord {
+    /// Customer that sent the request.
     pub customer: CustomerId,
-    /// When.
+    /// Virtual time of the arrival.
     pub at: Millis,
-    /// When it is late.
+    /// Virtual time after which the answer is late.
     pub due: Millis,
-    /// Tokens wanted.
+    /// Length of the answer in tokens.
     pub tokens: u32,
     /// Hash of the prompt's beginning.
     pub prefix: Option<u64>,
-    /// When its first token came.
+    /// Virtual time of the first piece of the answer.
     pub first: Option<Millis>,
-    /// When and how it was answered; more than one answer is a fault.
+    /// Virtual times and outcomes of all answers; more than one is a fault.
     pub answers: Vec<(Millis, Answer)>,
 }
 
-/// Figures over all requests.
+/// Counts of all requests by outcome.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tally {
-    /// Requests asked.
+    /// Requests sent to routers.
     pub asked: u64,
-    /// Answered whole.
+    /// Requests answered completely, or with a recorded outcome.
     pub whole: u64,
-    /// Whole, but after their deadline.
+    /// Requests answered so, but after they were due.
     pub late: u64,
-    /// Turned away, not run.
+    /// Requests that failed and certainly did not run.
     pub shed: u64,
-    /// Failed though they may have run.
+    /// Requests that failed although they may have run.
     pub lost: u64,
-    /// Attempts.
+    /// Attempts sent to targets.
     pub attempts: u64,
     /// Attempts beyond the first.
     pub retries: u64,
-    /// Errors by kind.
+    /// Failed requests by error kind.
     pub kinds: BTreeMap<String, u64>,
 }
 
-impl Stage {
-    /// Asks a router; `tokens` is the length of the answer.
-    pub fn ask(&mut self, router: usize, arrival: Arrival, tokens: u32, due: Millis) {
-        let asked = Asked {
+impl Simulation {
+    /// Sends a request to a router. The answer is `tokens` long, and late after `due`.
+    pub fn submit(&mut self, router: usize, arrival: Arrival, tokens: u32, due: Millis) {
+        let record = RequestRecord {
             customer: arrival.customer.clone(),
             at: self.now,
             due: self.now + due,
@@ -77,33 +77,33 @@
             answers: Vec::new(),
         };
         self.tally.asked += 1;
-        self.asked.insert(arrival.request, asked);
+        self.requests.insert(arrival.request, record);
         self.router_step(router, RouterEvent::Arrive(Box::new(arrival)));
     }
 
-    /// The requests asked so far.
-    pub const fn asked(&self) -> &BTreeMap<RequestId, Asked> {
-        &self.asked
+    /// Returns all requests so far.
+    pub const fn requests(&self) -> &BTreeMap<RequestId, RequestRecord> {
+        &self.requests
     }
 
-    /// What became of a request, once it is answered.
+    /// Returns the first outcome of a request, once it has one.
     pub fn answer(&self, request: RequestId) -> Option<&Answer> {
-        let asked = self.asked.get(&request)?;
-        asked.answers.first().map(|(_, a)| a)
+        let record = self.requests.get(&request)?;
+        record.answers.first().map(|(_, a)| a)
     }
 
-    pub(super) fn request_act(&mut self, n: usize, action: RouterAction) {
+    pub(super) fn apply_request_action(&mut self, n: usize, action: RouterAction) {
         match action {
             RouterAction::Send(dispatch) => self.send(n, &dispatch),
             RouterAction::Cancel { request, .. } => {
-                for body in self.bodies.values_mut() {
-                    body.load.drop_run(request);
+                for instance in self.instances.values_mut() {
+                    instance.load.cancel(request);
                 }
             }
             RouterAction::Deliver { request, .. } => {
                 let now = self.now;
-                if let Some(asked) = self.asked.get_mut(&request) {
-                    asked.first.get_or_insert(now);
+                if let Some(record) = self.requests.get_mut(&request) {
+                    record.first.get_or_insert(now);
                 }
             }
             RouterAction::Finish { request, ending } => {
@@ -112,10 +112,10 @@
                     Ending::Streamed { .. } | Ending::Whole => Answer::Whole,
                 };
                 self.record_outcome(n, request);
-                self.answered(request, answer);
+                self.record_answer(request, answer);
             }
             RouterAction::Fail { request, kind, .. } => {
-                self.answered(request, Answer::Failed(kind));
+                self.record_answer(request, Answer::Failed(kind));
             }
             _ => {}
         }
@@ -130,15 +130,15 @@
         self.routers[n].core.record(request, outcome);
     }
 
-    fn answered(&mut self, request: RequestId, answer: Answer) {
+    fn record_answer(&mut self, request: RequestId, answer: Answer) {
         let now = self.now;
-        let Some(asked) = self.asked.get_mut(&request) else {
+        let Some(record) = self.requests.get_mut(&request) else {
             return;
         };
         match &answer {
             Answer::Whole | Answer::Recorded => {
                 self.tally.whole += 1;
-                self.tally.late += u64::from(now > asked.due);
+                self.tally.late += u64::from(now > record.due);
             }
             Answer::Failed(kind) => {
                 let ran = kind.answer().ran;
@@ -147,14 +147,14 @@
                 *self.tally.kinds.entry(kind.to_string()).or_default() += 1;
             }
         }
-        asked.answers.push((now, answer));
+        record.answers.push((now, answer));
     }
 
-    /// Sends an attempt to its leader.
+    /// Sends an attempt to the leader of its group and reports an immediate result to the router.
     fn send(&mut self, n: usize, dispatch: &Dispatch) {
-        let model = self.options.model.clone();
-        let asked = self.asked.get(&dispatch.request);
-        let tokens = asked.map_or(1, |a| a.tokens);
+        let model = self.options.engine.clone();
+        let record = self.requests.get(&dispatch.request);
+        let tokens = record.map_or(1, |a| a.tokens);
         let run = Run::new(
             n,
             dispatch.request,
@@ -164,13 +164,13 @@
             &model,
             tokens,
         )
-        .with_prefix(asked.and_then(|a| a.prefix));
-        let resumes = matches!(dispatch.mode, Mode::Resume { .. });
-        let verdict = match self.body_at(dispatch.address) {
-            Some(body) if body.power != Power::Off => match &body.target.duty {
-                _ if resumes => Some(AttemptEvent::Forgotten),
+        .with_prefix(record.and_then(|a| a.prefix));
+        let is_resume = matches!(dispatch.mode, Mode::Resume { .. });
+        let result = match self.instance_at(dispatch.address) {
+            Some(instance) if instance.power != Power::Off => match &instance.target.duty {
+                _ if is_resume => Some(AttemptEvent::Forgotten),
                 Duty::Ready(m) if m.group == run.key.group && m.epoch == run.key.epoch => {
-                    body.load.enter(run.clone());
+                    instance.load.enqueue(run.clone());
                     None
                 }
                 Duty::Service { .. } => Some(AttemptEvent::Whole { status: 200 }),
@@ -178,15 +178,15 @@
             },
             _ => Some(AttemptEvent::Unsent),
         };
-        if let Some(what) = verdict {
+        if let Some(what) = result {
             if matches!(what, AttemptEvent::Whole { .. }) {
                 *self.runs.entry(dispatch.request.to_string()).or_default() += 1;
             }
-            self.tell_attempt(&run, what);
+            self.send_attempt_event(&run, what);
         }
     }
 
-    pub(super) fn tell_attempt(&mut self, run: &Run, what: AttemptEvent) {
+    pub(super) fn send_attempt_event(&mut self, run: &Run, what: AttemptEvent) {
         let event = RouterEvent::Attempt {
             request: run.request,
             attempt: run.attempt,
--- a/crates/thistlesill-replay/src/stage/time.rs
+++ b/crates/thistlesill-replay/src/stage/time.rs
@@ -1,13 +1,13 @@
-//! The passing of time.
+//! Advances the virtual time.
 
 use thistlesill_core::Millis;
 use thistlesill_policy::planner::PlannerEvent;
 use thistlesill_policy::router::RouterEvent;
 
-use super::{Power, STEP, Stage};
+use super::{Power, STEP, Simulation};
 
-impl Stage {
-    /// Lets time pass.
+impl Simulation {
+    /// Runs the simulation for `time`, rounded up to whole steps.
     pub fn run(&mut self, time: Millis) {
         let end = self.now + time;
         while self.now < end {
@@ -15,7 +15,7 @@
         }
     }
 
-    /// Lets one step of time pass.
+    /// Advances the simulation by one [`STEP`].
     pub fn step(&mut self) {
         self.now = self.now + STEP;
         if self.elapsed().get().is_multiple_of(1_000) {
@@ -24,17 +24,17 @@
         self.finish_loads();
         self.run_engines();
         for n in 0..self.planners.len() {
-            self.read_mail_of_planner(n);
+            self.process_planner_inbox(n);
             self.planner_step(n, PlannerEvent::Tick);
         }
         for n in 0..self.routers.len() {
-            self.read_mail_of_router(n);
+            self.process_router_inbox(n);
             self.router_step(n, RouterEvent::Tick);
         }
     }
 
     pub(super) fn publish_list(&mut self) {
-        if !self.frozen {
+        if !self.list_frozen {
             for entry in &mut self.listed {
                 entry.leaving = self.leaving.contains(&entry.instance);
             }
@@ -46,14 +46,14 @@
     }
 
     pub(super) fn finish_loads(&mut self) {
-        for body in self.bodies.values_mut().filter(|b| b.power == Power::On) {
-            let done = body.loading.take_if(|(at, _)| *at <= self.now);
+        for instance in self.instances.values_mut().filter(|i| i.power == Power::On) {
+            let done = instance.loading.take_if(|(at, _)| *at <= self.now);
             if let Some((_, membership)) = done {
-                body.target.finish_loading(&membership);
+                instance.target.finish_loading(&membership);
             }
-            let warm = body.warming.take_if(|(at, _)| *at <= self.now);
-            if let Some((_, load)) = warm {
-                body.target.set_warm(load);
+            let warmed = instance.warming.take_if(|(at, _)| *at <= self.now);
+            if let Some((_, load)) = warmed {
+                instance.target.set_warm(load);
             }
         }
     }
--- a/crates/thistlesill-replay/src/trace.rs
+++ b/crates/thistlesill-replay/src/trace.rs
@@ -1,4 +1,4 @@
-//! Traces: recorded inputs with stated outcomes.
+//! Traces: recorded arrivals and failures, and how they are read from files.
 
 use std::path::{Path, PathBuf};
 
@@ -15,23 +15,23 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Trace {
-    /// Its name.
+    /// Name of the trace.
     pub name: String,
-    /// The folder in `deploy/` with the fleet and its settings.
+    /// Directory below `deploy/` with the fleet and its settings.
     pub deployment: String,
-    /// Seconds from the start that are not measured: groups form.
+    /// Seconds from the start that are not measured, because groups still form.
     pub warm_up: u64,
-    /// Seconds in all.
+    /// Total length in seconds, including the warm-up.
     pub seconds: u64,
     /// Seed of the arrivals and of all random sources.
     pub seed: u64,
-    /// How engines behave.
+    /// Behaviour of the engines.
     #[serde(default)]
     pub engine: EngineModel,
-    /// Streams of arrivals.
+    /// Streams of requests, one entry per customer and span of time.
     #[serde(default)]
     pub arrivals: Vec<Arrivals>,
-    /// What happens.
+    /// Failures and changes, in the order of their times.
     #[serde(default)]
     pub events: Vec<Event>,
 }
@@ -40,71 +40,72 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Arrivals {
-    /// The customer.
+    /// Customer that sends the requests.
     pub customer: CustomerId,
-    /// First second.
+    /// First second, counted from the start of the trace.
     pub from: u64,
-    /// Last second.
+    /// End of the requests, in seconds from the start of the trace; exclusive.
     pub until: u64,
-    /// Requests per second, on average.
+    /// Mean number of requests per second.
     pub rate: f64,
-    /// Tokens of an answer.
+    /// Mean number of tokens per answer.
     pub tokens: u32,
-    /// Milliseconds after which an answer is late.
+    /// Time after which an answer is late, in milliseconds from the arrival.
     pub due_ms: u64,
-    /// The caller's priority.
+    /// Priority that the caller asks for.
     #[serde(default)]
     pub priority: Option<u8>,
-    /// How many different prompts there are; each has a prefix of its own.
+    /// Number of different prompts, each with a prefix of its own; without it, requests have no
+    /// prefix.
     #[serde(default)]
     pub prompts: Option<u32>,
 }
 
-/// Something that happens at a second.
+/// A failure or change at a given second.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Event {
-    /// The second.
+    /// Second at which the event happens, counted from the start of the trace.
     pub at: u64,
-    /// What.
-    pub what: What,
+    /// The failure or change.
+    pub what: EventKind,
 }
 
-/// What happens.
+/// A failure of the fleet or a change to it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
-pub enum What {
-    /// An instance dies.
+pub enum EventKind {
+    /// An instance is killed.
     Kill(InstanceId),
-    /// A dead instance starts anew.
+    /// A killed instance restarts.
     Restart(InstanceId),
-    /// An instance stands still.
+    /// An instance is paused.
     Pause(InstanceId),
-    /// It goes on.
+    /// A paused instance continues.
     Continue(InstanceId),
-    /// An instance turns slow; a factor of 1 ends it.
+    /// An instance becomes slower by a factor; 1 is its usual speed.
     Slow(InstanceId, u32),
-    /// A fabric domain goes dark.
+    /// All instances of a fabric domain are killed.
     Dark(DomainId),
-    /// It comes back.
+    /// All instances of a fabric domain restart.
     Light(DomainId),
     /// An instance is listed as leaving.
     Leave(InstanceId),
-    /// The table changes its behaviour.
+    /// The table changes its mode.
     Table(TableMode),
-    /// A planner dies.
+    /// A planner is killed; the number counts the halls of the fleet from 0.
     KillPlanner(usize),
-    /// A dead planner starts anew.
+    /// A killed planner restarts.
     StartPlanner(usize),
-    /// A planner stands still.
+    /// A planner is paused.
     PausePlanner(usize),
-    /// It goes on.
+    /// A paused planner continues.
     ContinuePlanner(usize),
-    /// A branch of the settings is replaced.
+    /// The settings branch at a path is replaced.
     Edit(String, Box<Branch>),
 }
 
-/// Why a trace could not be read.
+/// An error while reading a trace or its deployment.
 #[derive(Debug, Snafu)]
 pub enum TraceError {
     /// A file could not be read.
@@ -115,36 +116,36 @@
         /// The cause.
         source: std::io::Error,
     },
-    /// A file is malformed.
+    /// A file does not have the expected contents.
     #[snafu(display("{}:{source}", path.display()))]
     Malformed {
         /// The file.
         path: PathBuf,
-        /// The cause, with its place.
+        /// The cause, with its position in the file.
         source: JsoncError,
     },
 }
 
-/// A trace with the deployment that it plays on.
+/// A trace with the deployment that it is replayed on.
 #[derive(Debug, Clone)]
-pub struct Loaded {
-    /// The trace.
+pub struct LoadedTrace {
+    /// The trace as read from its file.
     pub trace: Trace,
-    /// The fleet.
+    /// The fleet of the deployment.
     pub fleet: FleetFile,
-    /// Its settings.
+    /// The settings of the deployment.
     pub settings: TreeFile,
 }
 
-/// Reads a trace and its deployment.
+/// Reads the trace at `path` and its deployment below the directory `deploy`.
 ///
 /// # Errors
 ///
-/// A [`TraceError`] that names the file.
-pub fn load(path: &Path, deploy: &Path) -> Result<Loaded, TraceError> {
+/// Returns a [`TraceError`] that names the file that is missing or malformed.
+pub fn load(path: &Path, deploy: &Path) -> Result<LoadedTrace, TraceError> {
     let trace: Trace = read(path)?;
     let dir = deploy.join(&trace.deployment);
-    Ok(Loaded {
+    Ok(LoadedTrace {
         fleet: read(&dir.join("fleet.jsonc"))?,
         settings: read(&dir.join("settings.jsonc"))?,
         trace,
--- a/crates/thistlesill-replay/tests/it.rs
+++ b/crates/thistlesill-replay/tests/it.rs
@@ -1,4 +1,4 @@
-//! Sessions of the shipped cores around the fakes, in virtual time.
+//! Tests of the production cores in simulations with fakes, in virtual time.
 
 #[path = "it/golden.rs"]
 mod golden;
--- a/crates/thistlesill-replay/tests/it/groups.rs
+++ b/crates/thistlesill-replay/tests/it/groups.rs
@@ -1,131 +1,132 @@
-//! No serving group answers requests unless all its instances are present.
+//! A group receives requests only while all its instances are present.
 
 use thistlesill_core::message::{Heartbeat, ObservedState, Sighting};
 use thistlesill_core::report::{Load, Membership};
 use thistlesill_core::{GroupId, Millis};
 use thistlesill_policy::presence::{Received, View};
 use thistlesill_policy::serving::derive_servers;
-use thistlesill_replay::stage::{Power, Stage};
+use thistlesill_replay::stage::{Power, Simulation};
 
 use crate::support::{
-    WINDOW, assert_answers_true, holder, load, options, place, sends_since, serving, wait,
+    PRESENCE_WINDOW, assert_answers_consistent, holder, listed_instance, options, send_load,
+    sends_since, serving, wait_until,
 };
 
-/// The group that an instance belongs to.
-fn group_of(stage: &Stage, instance: &str) -> GroupId {
-    let duty = &stage.target(instance).duty;
+/// Returns the group that an instance belongs to.
+fn group_of(sim: &Simulation, instance: &str) -> GroupId {
+    let duty = &sim.target(instance).duty;
     duty.membership().expect("a member").group.clone()
 }
 
-/// Asserts that no request went to a group after its presence ran out.
-fn assert_no_sends(stage: &Stage, group: &GroupId, since: Millis) {
-    let late = sends_since(stage, since + WINDOW);
+/// Asserts that a group received no requests from one presence window after `since` on.
+fn assert_no_sends(sim: &Simulation, group: &GroupId, since: Millis) {
+    let late = sends_since(sim, since + PRESENCE_WINDOW);
     assert!(late.iter().all(|(g, _)| g != group), "{late:?}");
 }
 
 #[test]
 fn member_killed() {
-    let mut stage = serving(options(), 2);
-    let group = group_of(&stage, "d-00");
-    let at = stage.elapsed();
-    stage.power("d-00", Power::Off);
-    load(&mut stage, 1, 80);
-    assert_no_sends(&stage, &group, at);
-    let repaired = wait(&mut stage, 20_000, |s| {
+    let mut sim = serving(options(), 2);
+    let group = group_of(&sim, "d-00");
+    let at = sim.elapsed();
+    sim.set_power("d-00", Power::Off);
+    send_load(&mut sim, 1, 80);
+    assert_no_sends(&sim, &group, at);
+    let replaced = wait_until(&mut sim, 20_000, |s| {
         s.router(0).roster().servers.len() == 2
     });
-    assert!(repaired, "the spare replaces the dead member");
-    let whole = stage.whole_groups();
-    assert!(!whole.contains_key(&group), "the old group is gone");
-    stage.run(Millis::new(20_000));
-    assert_answers_true(&stage);
+    assert!(replaced, "the spare replaces the killed member");
+    let complete = sim.complete_groups();
+    assert!(!complete.contains_key(&group), "the old group is gone");
+    sim.run(Millis::new(20_000));
+    assert_answers_consistent(&sim);
 }
 
 #[test]
 fn member_paused_and_continued() {
-    let mut stage = serving(options(), 2);
-    let group = group_of(&stage, "d-00");
-    let at = stage.elapsed();
-    stage.power("d-00", Power::Paused);
-    stage.run(WINDOW);
-    load(&mut stage, 1, 30);
-    assert_no_sends(&stage, &group, at);
-    stage.power("d-00", Power::On);
-    // Back as if nothing had happened, with the old incarnation: by now its
-    // place is taken, so it must not serve in the old group again.
-    stage.run(Millis::new(10_000));
-    let back = stage.elapsed();
-    load(&mut stage, 100, 30);
-    let sends = sends_since(&stage, back);
+    let mut sim = serving(options(), 2);
+    let group = group_of(&sim, "d-00");
+    let at = sim.elapsed();
+    sim.set_power("d-00", Power::Paused);
+    sim.run(PRESENCE_WINDOW);
+    send_load(&mut sim, 1, 30);
+    assert_no_sends(&sim, &group, at);
+    sim.set_power("d-00", Power::On);
+    // The member continues with its old incarnation. It has been replaced by now, so it must not
+    // serve in the old group again.
+    sim.run(Millis::new(10_000));
+    let back = sim.elapsed();
+    send_load(&mut sim, 100, 30);
+    let sends = sends_since(&sim, back);
     assert!(sends.iter().all(|(g, _)| *g != group), "{sends:?}");
-    assert!(wait(&mut stage, 20_000, |s| s
+    assert!(wait_until(&mut sim, 20_000, |s| s
         .router(0)
         .roster()
         .servers
         .len()
         == 2));
-    stage.run(Millis::new(20_000));
-    assert_answers_true(&stage);
+    sim.run(Millis::new(20_000));
+    assert_answers_consistent(&sim);
 }
 
 #[test]
 fn member_paused_for_a_moment() {
-    let mut stage = serving(options(), 2);
-    let group = group_of(&stage, "d-00");
-    stage.power("d-00", Power::Paused);
-    stage.run(Millis::new(2_000));
-    stage.power("d-00", Power::On);
-    stage.run(Millis::new(4_000));
-    assert_eq!(group_of(&stage, "d-00"), group, "nothing was rebuilt");
-    assert_eq!(stage.router(0).roster().servers.len(), 2);
+    let mut sim = serving(options(), 2);
+    let group = group_of(&sim, "d-00");
+    sim.set_power("d-00", Power::Paused);
+    sim.run(Millis::new(2_000));
+    sim.set_power("d-00", Power::On);
+    sim.run(Millis::new(4_000));
+    assert_eq!(group_of(&sim, "d-00"), group, "nothing was rebuilt");
+    assert_eq!(sim.router(0).roster().servers.len(), 2);
 }
 
 #[test]
 fn member_back_with_new_incarnation() {
-    let mut stage = serving(options(), 2);
-    let group = group_of(&stage, "d-00");
-    let at = stage.elapsed();
-    stage.power("d-00", Power::Off);
-    stage.step();
-    stage.power("d-00", Power::On);
-    load(&mut stage, 1, 80);
-    assert_no_sends(&stage, &group, at);
-    assert!(wait(&mut stage, 20_000, |s| s
+    let mut sim = serving(options(), 2);
+    let group = group_of(&sim, "d-00");
+    let at = sim.elapsed();
+    sim.set_power("d-00", Power::Off);
+    sim.step();
+    sim.set_power("d-00", Power::On);
+    send_load(&mut sim, 1, 80);
+    assert_no_sends(&sim, &group, at);
+    assert!(wait_until(&mut sim, 20_000, |s| s
         .router(0)
         .roster()
         .servers
         .len()
         == 2));
-    assert!(!stage.whole_groups().contains_key(&group));
-    stage.run(Millis::new(20_000));
-    assert_answers_true(&stage);
+    assert!(!sim.complete_groups().contains_key(&group));
+    sim.run(Millis::new(20_000));
+    assert_answers_consistent(&sim);
 }
 
 #[test]
 fn spare_is_warm_when_it_is_needed() {
     let mut options = options();
-    options.model.load = Millis::new(30_000);
-    let mut stage = Stage::new(options);
-    assert!(wait(&mut stage, 90_000, |s| s
+    options.engine.load = Millis::new(30_000);
+    let mut sim = Simulation::new(options);
+    assert!(wait_until(&mut sim, 90_000, |s| s
         .router(0)
         .roster()
         .servers
         .len()
         == 2));
-    assert!(wait(&mut stage, 60_000, |s| s
+    assert!(wait_until(&mut sim, 60_000, |s| s
         .target("d-08")
         .warm
         .is_some()));
     assert_eq!(
-        stage.target("d-08").duty.membership(),
+        sim.target("d-08").duty.membership(),
         None,
         "it stays a spare"
     );
-    let at = stage.elapsed();
-    stage.power("d-00", Power::Off);
-    assert!(wait(&mut stage, 60_000, |s| s.whole_groups().len() == 1));
-    assert!(wait(&mut stage, 60_000, |s| s.whole_groups().len() == 2));
-    let took = stage.elapsed() - at;
+    let at = sim.elapsed();
+    sim.set_power("d-00", Power::Off);
+    assert!(wait_until(&mut sim, 60_000, |s| s.complete_groups().len() == 1));
+    assert!(wait_until(&mut sim, 60_000, |s| s.complete_groups().len() == 2));
+    let took = sim.elapsed() - at;
     assert!(
         took < Millis::new(20_000),
         "repaired without a load: {took}"
@@ -135,85 +136,84 @@
 #[test]
 fn domain_dark() {
     let mut options = options();
-    options.places.extend((0..4).map(|n| place("e", n)));
-    let mut stage = serving(options, 3);
-    let dark = stage.domain("d");
-    let groups: Vec<GroupId> = ["d-00", "d-07"]
-        .iter()
-        .map(|i| group_of(&stage, i))
-        .collect();
-    let at = stage.elapsed();
-    for instance in &dark {
-        stage.power(instance.as_str(), Power::Off);
+    options
+        .instances
+        .extend((0..4).map(|n| listed_instance("e", n)));
+    let mut sim = serving(options, 3);
+    let killed = sim.domain_instances("d");
+    let groups: Vec<GroupId> = ["d-00", "d-07"].iter().map(|i| group_of(&sim, i)).collect();
+    let at = sim.elapsed();
+    for instance in &killed {
+        sim.set_power(instance.as_str(), Power::Off);
     }
-    load(&mut stage, 1, 60);
+    send_load(&mut sim, 1, 60);
     for group in &groups {
-        assert_no_sends(&stage, group, at);
+        assert_no_sends(&sim, group, at);
     }
-    assert_eq!(stage.router(0).roster().servers.len(), 1);
-    for instance in &dark {
-        stage.power(instance.as_str(), Power::On);
+    assert_eq!(sim.router(0).roster().servers.len(), 1);
+    for instance in &killed {
+        sim.set_power(instance.as_str(), Power::On);
     }
-    assert!(wait(&mut stage, 30_000, |s| s
+    assert!(wait_until(&mut sim, 30_000, |s| s
         .router(0)
         .roster()
         .servers
         .len()
         == 3));
-    stage.run(Millis::new(20_000));
-    assert_answers_true(&stage);
+    sim.run(Millis::new(20_000));
+    assert_answers_consistent(&sim);
 }
 
 #[test]
 fn watcher_dead() {
-    let mut stage = serving(options(), 2);
-    let at = stage.elapsed();
-    let victim = (holder(&stage) + 1) % 3;
-    stage.planner_power(victim, Power::Off);
+    let mut sim = serving(options(), 2);
+    let at = sim.elapsed();
+    let victim = (holder(&sim) + 1) % 3;
+    sim.set_planner_power(victim, Power::Off);
     let mut least = 2;
     for _ in 0..400 {
-        stage.step();
-        least = least.min(stage.router(0).roster().servers.len());
+        sim.step();
+        least = least.min(sim.router(0).roster().servers.len());
     }
-    assert_eq!(least, 2, "two watchers are left, and serving goes on");
-    load(&mut stage, 1, 10);
-    assert!(!sends_since(&stage, at).is_empty());
+    assert_eq!(least, 2, "two watchers remain, and all groups keep serving");
+    send_load(&mut sim, 1, 10);
+    assert!(!sends_since(&sim, at).is_empty());
 }
 
 #[test]
 fn all_watchers_dead() {
-    let mut stage = serving(options(), 2);
-    let at = stage.elapsed();
+    let mut sim = serving(options(), 2);
+    let at = sim.elapsed();
     for n in 0..3 {
-        stage.planner_power(n, Power::Off);
+        sim.set_planner_power(n, Power::Off);
     }
-    stage.run(WINDOW);
-    load(&mut stage, 1, 30);
-    let sends = sends_since(&stage, at + WINDOW);
+    sim.run(PRESENCE_WINDOW);
+    send_load(&mut sim, 1, 30);
+    let sends = sends_since(&sim, at + PRESENCE_WINDOW);
     assert!(
         sends.is_empty(),
-        "nobody vouches for the members: {sends:?}"
+        "no watcher reports the members: {sends:?}"
     );
 }
 
 #[test]
 fn router_paused_does_not_believe_old_beats() {
-    let mut stage = serving(options(), 2);
-    let group = group_of(&stage, "d-00");
-    stage.router_power(0, Power::Paused);
-    stage.run(Millis::new(1_000));
-    stage.power("d-00", Power::Off);
-    stage.run(Millis::new(20_000));
-    let back = stage.elapsed();
-    stage.router_power(0, Power::On);
-    load(&mut stage, 1, 10);
-    let sends = sends_since(&stage, back);
+    let mut sim = serving(options(), 2);
+    let group = group_of(&sim, "d-00");
+    sim.set_router_power(0, Power::Paused);
+    sim.run(Millis::new(1_000));
+    sim.set_power("d-00", Power::Off);
+    sim.run(Millis::new(20_000));
+    let back = sim.elapsed();
+    sim.set_router_power(0, Power::On);
+    send_load(&mut sim, 1, 10);
+    let sends = sends_since(&sim, back);
     assert!(sends.iter().all(|(g, _)| *g != group), "{sends:?}");
 }
 
-/// What a watcher says of one member of a group of two.
+/// Returns a watcher's entry for one member of a group of two.
 fn sighting(instance: u32, incarnation: u64, rank: u32) -> Sighting {
-    let listed = place("d", instance);
+    let listed = listed_instance("d", instance);
     Sighting {
         instance: listed.instance,
         hall: listed.hall,
@@ -233,7 +233,7 @@
     }
 }
 
-fn beat(seq: u64, changes: u64, changed: Vec<Sighting>) -> Heartbeat {
+fn heartbeat(seq: u64, changes: u64, changed: Vec<Sighting>) -> Heartbeat {
     Heartbeat {
         seq,
         run: 1,
@@ -248,16 +248,16 @@
 fn forged_report_of_a_stale_process() {
     let mut view = View::new();
     let now = Millis::new(1_000_000);
-    let truth = vec![sighting(0, 2, 0), sighting(1, 1, 1)];
-    view.apply_heartbeat(&"p0".into(), &beat(1, 2, truth), 0, now);
-    assert_eq!(derive_servers(&view, now, WINDOW).servers.len(), 1);
+    let current = vec![sighting(0, 2, 0), sighting(1, 1, 1)];
+    view.apply_heartbeat(&"p0".into(), &heartbeat(1, 2, current), 0, now);
+    assert_eq!(derive_servers(&view, now, PRESENCE_WINDOW).servers.len(), 1);
     // Another watcher reached a stale process under the same address.
     let stale = vec![sighting(0, 1, 0)];
-    view.apply_heartbeat(&"p1".into(), &beat(1, 1, stale), 0, now);
-    let roster = derive_servers(&view, now, WINDOW);
+    view.apply_heartbeat(&"p1".into(), &heartbeat(1, 1, stale), 0, now);
+    let list = derive_servers(&view, now, PRESENCE_WINDOW);
     assert!(
-        roster.servers.is_empty(),
-        "watchers that differ count for nothing"
+        list.servers.is_empty(),
+        "a target that watchers disagree on counts as absent"
     );
 }
 
@@ -266,11 +266,15 @@
     let mut view = View::new();
     let now = Millis::new(1_000_000);
     let both = vec![sighting(0, 1, 0), sighting(1, 1, 1)];
-    view.apply_heartbeat(&"p0".into(), &beat(1, 2, both), 0, now);
-    // Beat 2 with a change is lost; beat 3 tells that there were 3 changes.
-    let heard = view.apply_heartbeat(&"p0".into(), &beat(3, 3, Vec::new()), 0, now);
-    assert_eq!(heard, Received::NeedsDigest);
-    assert!(derive_servers(&view, now, WINDOW).servers.is_empty());
+    view.apply_heartbeat(&"p0".into(), &heartbeat(1, 2, both), 0, now);
+    // Heartbeat 2 with a change is lost; heartbeat 3 reports 3 changes so far.
+    let received = view.apply_heartbeat(&"p0".into(), &heartbeat(3, 3, Vec::new()), 0, now);
+    assert_eq!(received, Received::NeedsDigest);
+    assert!(
+        derive_servers(&view, now, PRESENCE_WINDOW)
+            .servers
+            .is_empty()
+    );
 }
 
 #[test]
@@ -278,9 +282,13 @@
     let mut view = View::new();
     let now = Millis::new(1_000_000);
     let both = vec![sighting(0, 1, 0), sighting(1, 1, 1)];
-    view.apply_heartbeat(&"p0".into(), &beat(1, 2, both), 5, now);
+    view.apply_heartbeat(&"p0".into(), &heartbeat(1, 2, both), 5, now);
     let later = now + Millis::new(30_000);
-    // A beat that spent 28 s in a queue vouches for nothing any more.
-    view.apply_heartbeat(&"p0".into(), &beat(2, 2, Vec::new()), 28_005, later);
-    assert!(derive_servers(&view, later, WINDOW).servers.is_empty());
+    // A heartbeat that spent 28 s in a queue no longer proves that targets are present.
+    view.apply_heartbeat(&"p0".into(), &heartbeat(2, 2, Vec::new()), 28_005, later);
+    assert!(
+        derive_servers(&view, later, PRESENCE_WINDOW)
+            .servers
+            .is_empty()
+    );
 }
--- a/crates/thistlesill-replay/tests/it/leaving.rs
+++ b/crates/thistlesill-replay/tests/it/leaving.rs
@@ -1,65 +1,66 @@
-//! A leaving target receives no new work after a few seconds, and a planned
-//! stop cuts off no request.
+//! A leaving target receives no new requests after a few seconds, and planned stops interrupt no
+//! request.
 
 use thistlesill_core::Millis;
-use thistlesill_replay::stage::{Answer, Power, Stage, TableMode};
+use thistlesill_replay::stage::{Answer, Power, Simulation, TableMode};
 
-use crate::support::{chat, load, options, root, sends_since, serving, tree, wait};
+use crate::support::{chat, options, root, send_load, sends_since, serving, tree, wait_until};
 
-/// The time after which a leaving target must get nothing new.
-const FEW_SECONDS: Millis = Millis::new(3_000);
+/// Time after which a leaving target must receive no new requests.
+const LEAVING_LIMIT: Millis = Millis::new(3_000);
 
-fn assert_left_alone(stage: &mut Stage, instance: &str) {
-    let group = stage
+/// Asserts that the group of a leaving instance receives no new requests, and another one does.
+fn assert_no_new_requests(sim: &mut Simulation, instance: &str) {
+    let group = sim
         .target(instance)
         .duty
         .membership()
         .expect("a member")
         .group
         .clone();
-    let at = stage.elapsed();
-    load(stage, 1, 100);
-    let late = sends_since(stage, at + FEW_SECONDS);
-    assert!(!late.is_empty(), "the other group takes the work");
+    let at = sim.elapsed();
+    send_load(sim, 1, 100);
+    let late = sends_since(sim, at + LEAVING_LIMIT);
+    assert!(!late.is_empty(), "the other group receives the requests");
     assert!(late.iter().all(|(g, _)| *g != group), "{late:?}");
 }
 
 #[test]
 fn listed_as_leaving() {
-    let mut stage = serving(options(), 2);
-    stage.leave("d-00", true);
-    assert_left_alone(&mut stage, "d-00");
+    let mut sim = serving(options(), 2);
+    sim.set_leaving("d-00", true);
+    assert_no_new_requests(&mut sim, "d-00");
 }
 
 #[test]
 fn listed_as_leaving_while_nobody_can_give_orders() {
-    let mut stage = serving(options(), 2);
-    stage.set_table(TableMode::Down);
-    stage.run(Millis::new(15_000));
-    stage.leave("d-00", true);
-    assert_left_alone(&mut stage, "d-00");
+    let mut sim = serving(options(), 2);
+    sim.set_table(TableMode::Down);
+    sim.run(Millis::new(15_000));
+    sim.set_leaving("d-00", true);
+    assert_no_new_requests(&mut sim, "d-00");
 }
 
 #[test]
 fn says_itself_that_it_leaves_while_the_list_is_stuck() {
-    let mut stage = serving(options(), 2);
-    stage.freeze_list(true);
-    stage.leave("d-00", true);
-    stage.say_leaving("d-00");
-    assert_left_alone(&mut stage, "d-00");
+    let mut sim = serving(options(), 2);
+    sim.set_list_frozen(true);
+    sim.set_leaving("d-00", true);
+    sim.announce_leaving("d-00");
+    assert_no_new_requests(&mut sim, "d-00");
 }
 
 #[test]
 fn list_alone_while_the_target_says_nothing() {
-    let mut stage = serving(options(), 2);
-    stage.leave("d-03", true);
-    assert_left_alone(&mut stage, "d-03");
-    assert!(wait(&mut stage, 60_000, |s| s
+    let mut sim = serving(options(), 2);
+    sim.set_leaving("d-03", true);
+    assert_no_new_requests(&mut sim, "d-03");
+    assert!(wait_until(&mut sim, 60_000, |s| s
         .target("d-03")
         .duty
         .membership()
         .is_none()));
-    assert!(wait(&mut stage, 30_000, |s| s
+    assert!(wait_until(&mut sim, 30_000, |s| s
         .router(0)
         .roster()
         .servers
@@ -67,94 +68,95 @@
         == 2));
 }
 
-/// Starts long answers, does something, and asserts that none was cut.
-fn cuts_none(act: impl FnOnce(&mut Stage)) -> Stage {
-    let mut stage = serving(options(), 2);
+/// Starts long answers, calls `change`, and asserts that none of them was interrupted and that
+/// each ran once.
+fn assert_no_interruption(change: impl FnOnce(&mut Simulation)) -> Simulation {
+    let mut sim = serving(options(), 2);
     for n in 0..12 {
-        stage.ask((n % 2) as usize, chat(n), 300, Millis::new(60_000));
+        sim.submit((n % 2) as usize, chat(n), 300, Millis::new(60_000));
     }
-    stage.run(Millis::new(1_000));
-    act(&mut stage);
-    stage.run(Millis::new(60_000));
+    sim.run(Millis::new(1_000));
+    change(&mut sim);
+    sim.run(Millis::new(60_000));
     for n in 0..12 {
         let request = chat(n).request;
-        assert_eq!(stage.answer(request), Some(&Answer::Whole), "request {n}");
-        assert_eq!(stage.runs()[&request.to_string()], 1, "request {n}");
+        assert_eq!(sim.answer(request), Some(&Answer::Whole), "request {n}");
+        assert_eq!(sim.runs()[&request.to_string()], 1, "request {n}");
     }
-    stage
+    sim
 }
 
 #[test]
 fn leaving_member_cuts_no_stream() {
-    let stage = cuts_none(|stage| stage.leave("d-00", true));
+    let sim = assert_no_interruption(|sim| sim.set_leaving("d-00", true));
     assert_eq!(
-        stage.router(0).roster().servers.len(),
+        sim.router(0).roster().servers.len(),
         2,
-        "the spare took its place"
+        "the spare replaced the leaving member"
     );
 }
 
 #[test]
 fn changed_version_cuts_no_stream() {
-    let stage = cuts_none(|stage| {
+    let sim = assert_no_interruption(|sim| {
         let mut changed = root();
         changed.version = Some("2".into());
-        stage.settings(tree(2, changed));
+        sim.set_settings(tree(2, changed));
     });
-    let servers = &stage.router(0).roster().servers;
+    let servers = &sim.router(0).roster().servers;
     assert!(!servers.is_empty());
 }
 
 #[test]
 fn changed_version_reaches_all_groups_one_at_a_time() {
-    let mut stage = serving(options(), 2);
+    let mut sim = serving(options(), 2);
     let mut changed = root();
     changed.version = Some("2".into());
-    stage.settings(tree(2, changed));
+    sim.set_settings(tree(2, changed));
     let mut least = 2;
     for _ in 0..2_400 {
-        stage.step();
-        least = least.min(stage.router(0).roster().servers.len());
+        sim.step();
+        least = least.min(sim.router(0).roster().servers.len());
     }
     assert_eq!(least, 1, "one group at a time");
     let versions: Vec<String> = ["d-00", "d-07"]
         .iter()
-        .filter_map(|i| stage.target(i).duty.membership())
+        .filter_map(|i| sim.target(i).duty.membership())
         .map(|m| m.load.version.to_string())
         .collect();
     assert!(
         !versions.is_empty() && versions.iter().all(|v| v == "2"),
         "{versions:?}"
     );
-    assert_eq!(stage.router(0).roster().servers.len(), 2);
+    assert_eq!(sim.router(0).roster().servers.len(), 2);
 }
 
 #[test]
 fn stopped_planner_cuts_no_stream() {
-    cuts_none(|stage| {
+    assert_no_interruption(|sim| {
         for n in 0..3 {
-            stage.stop_planner(n);
-            stage.planner_power(n, Power::On);
-            stage.run(Millis::new(2_000));
+            sim.stop_planner(n);
+            sim.set_planner_power(n, Power::On);
+            sim.run(Millis::new(2_000));
         }
     });
 }
 
 #[test]
 fn stopped_router_ends_its_streams_first() {
-    let mut stage = serving(options(), 2);
-    stage.ask(0, chat(1), 300, Millis::new(60_000));
-    stage.run(Millis::new(1_000));
-    stage.stop_router(0);
-    stage.run(Millis::new(500));
-    // The balancer may not have noticed yet: requests are still taken.
-    stage.ask(0, chat(2), 10, Millis::new(60_000));
-    stage.run(Millis::new(10_000));
-    stage.ask(0, chat(3), 10, Millis::new(60_000));
-    stage.run(Millis::new(30_000));
-    assert_eq!(stage.answer(chat(1).request), Some(&Answer::Whole));
-    assert_eq!(stage.answer(chat(2).request), Some(&Answer::Whole));
+    let mut sim = serving(options(), 2);
+    sim.submit(0, chat(1), 300, Millis::new(60_000));
+    sim.run(Millis::new(1_000));
+    sim.stop_router(0);
+    sim.run(Millis::new(500));
+    // The load balancer may not have noticed the stop yet, so requests are still accepted.
+    sim.submit(0, chat(2), 10, Millis::new(60_000));
+    sim.run(Millis::new(10_000));
+    sim.submit(0, chat(3), 10, Millis::new(60_000));
+    sim.run(Millis::new(30_000));
+    assert_eq!(sim.answer(chat(1).request), Some(&Answer::Whole));
+    assert_eq!(sim.answer(chat(2).request), Some(&Answer::Whole));
     let refused = Answer::Failed(thistlesill_core::ErrorKind::NotReady);
-    assert_eq!(stage.answer(chat(3).request), Some(&refused));
-    assert!(!stage.router(0).is_ready());
+    assert_eq!(sim.answer(chat(3).request), Some(&refused));
+    assert!(!sim.router(0).is_ready());
 }
--- a/crates/thistlesill-replay/tests/it/support.rs
+++ b/crates/thistlesill-replay/tests/it/support.rs
@@ -1,4 +1,4 @@
-//! A small hall for sessions, and questions about what happened.
+//! A small hall for simulations, and helpers that query what happened.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -11,13 +11,13 @@
 use thistlesill_policy::pick::PickRule;
 use thistlesill_policy::plan::Strategy;
 use thistlesill_policy::router::{Arrival, Wanted};
-use thistlesill_replay::stage::{EngineModel, Seat, Stage, StageOptions};
+use thistlesill_replay::stage::{DaemonSpec, EngineModel, Simulation, SimulationOptions};
 
-/// The presence window of the sessions.
-pub(crate) const WINDOW: Millis = Millis::new(4_000);
+/// Age at which a member's report becomes invalid, as set in the settings.
+pub(crate) const PRESENCE_WINDOW: Millis = Millis::new(4_000);
 
-/// An instance of hall `h` in a domain.
-pub(crate) fn place(domain: &str, n: u32) -> ListedInstance {
+/// Returns a listed instance of hall `h` in a domain.
+pub(crate) fn listed_instance(domain: &str, n: u32) -> ListedInstance {
     ListedInstance {
         instance: format!("{domain}-{n:02}").into(),
         region: "r".into(),
@@ -31,7 +31,7 @@
     }
 }
 
-/// The root of the sessions' settings: groups of 4, one spare.
+/// Returns the root branch of the settings: groups of 4 instances, and one spare.
 pub(crate) fn root() -> Branch {
     Branch {
         model: Some("m".into()),
@@ -43,7 +43,7 @@
         downtime_weight: Some(0.8),
         spares: Some(1),
         checks_orders: Some(true),
-        presence_ms: Some(WINDOW.get()),
+        presence_ms: Some(PRESENCE_WINDOW.get()),
         drain_ms: Some(60_000),
         slots: Some(8),
         loads: Some(4),
@@ -54,7 +54,7 @@
     }
 }
 
-/// A tree with this root and customers `a` and `b`.
+/// Returns a settings tree with a root branch and the customers `a` and `b`.
 pub(crate) fn tree(revision: u64, root: Branch) -> Arc<Tree> {
     let customer = |name: &str| Branch {
         covers: Some(Cover::Customer(name.into())),
@@ -68,22 +68,22 @@
     Arc::new(Tree::new(revision, branches))
 }
 
-/// Options for a hall with nine instances in domain `d`.
-pub(crate) fn options() -> StageOptions {
-    StageOptions {
+/// Returns options for a hall with nine instances in domain `d`, three planners and two routers.
+pub(crate) fn options() -> SimulationOptions {
+    SimulationOptions {
         region: "r".into(),
-        places: (0..9).map(|n| place("d", n)).collect(),
+        instances: (0..9).map(|n| listed_instance("d", n)).collect(),
         tree: tree(1, root()),
         planners: vec![
-            Seat::new("p0", "h"),
-            Seat::new("p1", "h"),
-            Seat::new("p2", "h"),
+            DaemonSpec::new("p0", "h"),
+            DaemonSpec::new("p1", "h"),
+            DaemonSpec::new("p2", "h"),
         ],
-        routers: vec![Seat::new("r0", "h"), Seat::new("r1", "h")],
-        checks: true,
+        routers: vec![DaemonSpec::new("r0", "h"), DaemonSpec::new("r1", "h")],
+        checks_orders: true,
         strategy: Strategy::default(),
         rule: PickRule::default(),
-        model: EngineModel {
+        engine: EngineModel {
             load: Millis::new(2_000),
             ..EngineModel::default()
         },
@@ -91,29 +91,34 @@
     }
 }
 
-/// A stage whose groups all serve.
-pub(crate) fn serving(options: StageOptions, groups: usize) -> Stage {
-    let mut stage = Stage::new(options);
-    let formed = wait(&mut stage, 40_000, |s| {
+/// Starts a simulation and waits until `groups` groups serve.
+pub(crate) fn serving(options: SimulationOptions, groups: usize) -> Simulation {
+    let mut sim = Simulation::new(options);
+    let formed = wait_until(&mut sim, 40_000, |s| {
         s.router(0).roster().servers.len() == groups
     });
-    assert!(formed, "groups formed: {:?}", stage.router(0).roster());
-    stage
+    assert!(formed, "groups formed: {:?}", sim.router(0).roster());
+    sim
 }
 
-/// Lets time pass until something holds, at most `limit` milliseconds.
-pub(crate) fn wait(stage: &mut Stage, limit: u64, test: impl Fn(&Stage) -> bool) -> bool {
-    let end = stage.elapsed() + Millis::new(limit);
-    while stage.elapsed() < end {
-        if test(stage) {
+/// Advances the simulation until a condition is met, by at most `limit` milliseconds, and returns
+/// whether it is met.
+pub(crate) fn wait_until(
+    sim: &mut Simulation,
+    limit: u64,
+    condition: impl Fn(&Simulation) -> bool,
+) -> bool {
+    let end = sim.elapsed() + Millis::new(limit);
+    while sim.elapsed() < end {
+        if condition(sim) {
             return true;
         }
-        stage.step();
+        sim.step();
     }
-    test(stage)
+    condition(sim)
 }
 
-/// A completion request of customer `a`.
+/// Returns a completion request of customer `a`.
 pub(crate) fn chat(number: u128) -> Arrival {
     Arrival {
         request: RequestId::new(number),
@@ -129,7 +134,7 @@
     }
 }
 
-/// A request of customer `a` that may run once only.
+/// Returns a request of customer `a` with an idempotency key that may run only once.
 pub(crate) fn keyed(number: u128, key: &str) -> Arrival {
     Arrival {
         key: Some(key.to_owned()),
@@ -138,20 +143,20 @@
     }
 }
 
-/// The holder's number among the planners.
-pub(crate) fn holder(stage: &Stage) -> usize {
-    let holds = |n: &usize| !stage.planner(*n).status(stage.now()).holds.is_empty();
-    (0..3).find(holds).expect("a holder")
+/// Returns the index of the planner that holds the lease.
+pub(crate) fn holder(sim: &Simulation) -> usize {
+    let holds = |n: &usize| !sim.planner(*n).status(sim.now()).holds.is_empty();
+    (0..3).find(holds).expect("a planner holds the lease")
 }
 
-/// The groups that requests were sent to after `since`, with the times.
-pub(crate) fn sends_since(stage: &Stage, since: Millis) -> Vec<(GroupId, Millis)> {
-    let zero = stage.now() - stage.elapsed();
-    let records = stage.records().iter();
+/// Returns the groups that requests were sent to from `since` on, with the times.
+pub(crate) fn sends_since(sim: &Simulation, since: Millis) -> Vec<(GroupId, Millis)> {
+    let start = sim.now() - sim.elapsed();
+    let records = sim.records().iter();
     records
         .filter_map(|r| match &r.what {
             TimelineEvent::Sent { group, .. } => {
-                let at = Millis::new(r.stamp.wall) - zero;
+                let at = Millis::new(r.stamp.wall) - start;
                 (at >= since).then(|| (group.clone(), at))
             }
             _ => None,
@@ -159,28 +164,28 @@
         .collect()
 }
 
-/// Asks one request a step for a while, through both routers in turn.
-pub(crate) fn load(stage: &mut Stage, first: u128, count: u128) {
+/// Sends `count` requests, one every two steps, through both routers in turn.
+pub(crate) fn send_load(sim: &mut Simulation, first: u128, count: u128) {
     for n in 0..count {
         let router = (n % 2) as usize;
-        stage.ask(router, chat(first + n), 20, Millis::new(20_000));
-        stage.step();
-        stage.step();
+        sim.submit(router, chat(first + n), 20, Millis::new(20_000));
+        sim.step();
+        sim.step();
     }
 }
 
-/// Asserts that every request so far has exactly one answer, and that no
-/// answer contradicts what ran.
-pub(crate) fn assert_answers_true(stage: &Stage) {
+/// Asserts that every request so far has exactly one answer, and that none that ran was answered
+/// with an error which says that it did not run.
+pub(crate) fn assert_answers_consistent(sim: &Simulation) {
     use thistlesill_core::error::Ran;
     use thistlesill_replay::stage::Answer;
-    for (request, asked) in stage.asked() {
-        assert_eq!(asked.answers.len(), 1, "{request}: {asked:?}");
-        let ran = stage.runs().get(&request.to_string()).copied().unwrap_or(0);
-        if let Answer::Failed(kind) = &asked.answers[0].1
+    for (request, record) in sim.requests() {
+        assert_eq!(record.answers.len(), 1, "{request}: {record:?}");
+        let ran = sim.runs().get(&request.to_string()).copied().unwrap_or(0);
+        if let Answer::Failed(kind) = &record.answers[0].1
             && kind.answer().ran == Ran::No
         {
-            assert_eq!(ran, 0, "{request} was told {kind}");
+            assert_eq!(ran, 0, "{request} ran but failed with {kind}");
         }
     }
 }
--- a/crates/thistlesill-replay/tests/traces.rs
+++ b/crates/thistlesill-replay/tests/traces.rs
@@ -1,5 +1,5 @@
-//! The recorded traces against their stated outcomes.
-//! `THISTLESILL_BLESS=1` writes them.
+//! Replays the recorded traces and compares their measures with golden files.
+//! `THISTLESILL_BLESS=1` rewrites the files.
 
 use std::path::{Path, PathBuf};
 
@@ -7,15 +7,15 @@
 use thistlesill_replay::player::{Decisions, play};
 use thistlesill_replay::trace::load;
 
-fn played(name: &str) -> Measures {
+fn replay(name: &str) -> Measures {
     let dir = Path::new(env!("CARGO_MANIFEST_DIR"));
     let trace = dir.join("traces").join(format!("{name}.jsonc"));
-    let loaded = load(&trace, &dir.join("../../deploy")).expect("a sound trace");
+    let loaded = load(&trace, &dir.join("../../deploy")).expect("a valid trace");
     play(&loaded, Decisions::default())
 }
 
 fn compare(name: &str) -> Measures {
-    let measures = played(name);
+    let measures = replay(name);
     let path: PathBuf = [
         env!("CARGO_MANIFEST_DIR"),
         "tests/golden",
@@ -23,12 +23,15 @@
     ]
     .iter()
     .collect();
-    let found = serde_json::to_string_pretty(&measures).expect("measures encode") + "\n";
+    let actual = serde_json::to_string_pretty(&measures).expect("measures are valid JSON") + "\n";
     if std::env::var_os("THISTLESILL_BLESS").is_some() {
-        std::fs::write(&path, &found).expect("a golden file");
+        std::fs::write(&path, &actual).expect("a golden file");
     }
-    let wanted = std::fs::read_to_string(&path).unwrap_or_default();
-    assert_eq!(found, wanted, "{name} has another outcome");
+    let expected = std::fs::read_to_string(&path).unwrap_or_default();
+    assert_eq!(
+        actual, expected,
+        "{name}: the measures differ from the golden file"
+    );
     measures
 }
 
