--- a/crates/thistlesill-cli/src/client.rs
+++ b/crates/thistlesill-cli/src/client.rs
@@ -11,7 +11,7 @@
 use thistlesill_core::NodeId;
 use thistlesill_core::config::Role;
 use thistlesill_net::files::{read_jsonc, read_secret};
-use thistlesill_net::http::{HttpClient, HttpError, decode, finish};
+use thistlesill_net::http::{HttpClient, HttpError, build_request, decode};
 use thistlesill_net::platform::Platform;
 
 use crate::failure::{Failure, FileSnafu, UnreachableSnafu};
@@ -99,7 +99,7 @@
     ) -> Result<T, HttpError> {
         let head = Request::get(format!("http://{}{path}", daemon.admin));
         let head = head.header("authorization", format!("Bearer {}", self.token));
-        let request = finish(head, hyper::body::Bytes::new())?;
+        let request = build_request(head, hyper::body::Bytes::new())?;
         decode(&self.http.call(request, LIMIT).await?)
     }
 
@@ -134,7 +134,7 @@
         let head = Request::post(format!("http://{}/admin/drain", daemon.admin))
             .header("authorization", format!("Bearer {}", self.token));
         let what = || format!("daemon {name}");
-        let request = finish(head, hyper::body::Bytes::new())
+        let request = build_request(head, hyper::body::Bytes::new())
             .with_context(|_| UnreachableSnafu { what: what() })?;
         let answer = self.http.call(request, LIMIT).await;
         answer.with_context(|_| UnreachableSnafu { what: what() })?;
--- a/crates/thistlesill-cli/src/edit.rs
+++ b/crates/thistlesill-cli/src/edit.rs
@@ -11,7 +11,7 @@
 use thistlesill_core::table::{Rows, Txn, TxnReply, TxnResult};
 use thistlesill_net::http::HttpError;
 use thistlesill_net::platform::Platform;
-use thistlesill_net::sync::tree_of;
+use thistlesill_net::sync::tree_from_rows;
 
 /// Tries of a transaction whose answer is lost.
 const TRIES: u32 = 4;
@@ -91,7 +91,7 @@
 pub fn current_of(rows: &Rows) -> Current {
     let edits = rows.rows.iter().filter(|r| r.key.starts_with(EDIT_PREFIX));
     Current {
-        tree: tree_of(rows).unwrap_or_default(),
+        tree: tree_from_rows(rows).unwrap_or_default(),
         head_version: rows.find(HEAD_KEY).map_or(0, |r| r.version),
         edits: edits.filter_map(|r| r.decode().ok()).collect(),
     }
--- a/crates/thistlesill-edge/src/attempt.rs
+++ b/crates/thistlesill-edge/src/attempt.rs
@@ -8,7 +8,7 @@
 use hyper::{HeaderMap, Response, StatusCode};
 use thistlesill_core::Millis;
 use thistlesill_core::edge::{RouteKind, Target, TargetId};
-use thistlesill_net::lane::{Lane, LaneError, within};
+use thistlesill_net::lane::{ConnectionError, HttpConnection, within};
 use thistlesill_platform::caller::{self, AnswerHead};
 use thistlesill_policy::edge::attempt::Outcome;
 use thistlesill_policy::edge::limit::Clearance;
@@ -33,7 +33,7 @@
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Incoming,
-    pub(crate) lane: Lane,
+    pub(crate) lane: HttpConnection,
     pub(crate) info: AnswerHead,
     pub(crate) target: Target,
     pub(crate) flight: InFlight,
@@ -126,7 +126,7 @@
         };
         tokio::select! {
             answer = &mut send => answer,
-            () = edge.alarm.until(last) => Err(LaneError::Late),
+            () = edge.alarm.sleep_until(last) => Err(ConnectionError::TimedOut),
             () = patience => {
                 edge.suspect(&target.id, "no answer begins");
                 return Err(Failure::new(Outcome::MayHaveRun, &"no answer begins"));
@@ -135,7 +135,7 @@
     };
     match answer {
         Ok(response) => sort_answer(job, target, response, lane, flight, sent),
-        Err(LaneError::Late) => Err(Failure::new(Outcome::Late, &"no answer in time")),
+        Err(ConnectionError::TimedOut) => Err(Failure::new(Outcome::Late, &"no answer in time")),
         Err(error) if error.is_unsent() => Err(Failure::new(Outcome::NotSent, &error)),
         Err(error) => {
             quarantine::note_lost(job, target, "connection lost");
@@ -184,7 +184,7 @@
     job: &Rc<Job>,
     target: &Target,
     response: Response<Incoming>,
-    lane: Lane,
+    lane: HttpConnection,
     flight: InFlight,
     sent: Millis,
 ) -> Result<Answered, Failure> {
--- a/crates/thistlesill-edge/src/daemon.rs
+++ b/crates/thistlesill-edge/src/daemon.rs
@@ -334,7 +334,7 @@
 /// Notes that the machine was suspended. What was kept open may have ended meanwhile, and
 /// nobody hears of it on a connection that nobody uses.
 fn note_suspended(edge: &Edge) {
-    if let Some(time) = edge.alarm.look() {
+    if let Some(time) = edge.alarm.check_suspension() {
         edge.lanes.clear();
         edge.store.drop_idle();
         let line = edge.lines.line("suspended").with("for_ms", time.get());
--- a/crates/thistlesill-edge/src/job.rs
+++ b/crates/thistlesill-edge/src/job.rs
@@ -10,7 +10,7 @@
 use hyper::{HeaderMap, Method, Request, Uri};
 use thistlesill_core::edge::{Target, TargetId};
 use thistlesill_core::{Fingerprint, Millis};
-use thistlesill_net::lane::Lane;
+use thistlesill_net::lane::HttpConnection;
 use thistlesill_platform::caller::{self, CallerHead, TargetHead};
 use thistlesill_policy::edge::admission::Admission;
 use thistlesill_policy::edge::asked::DemandSample;
@@ -79,7 +79,7 @@
     }
 
     /// Keeps a connection for the next request.
-    pub(crate) fn keep_lane(&self, target: &TargetId, lane: Lane, keep: Option<Millis>) {
+    pub(crate) fn keep_lane(&self, target: &TargetId, lane: HttpConnection, keep: Option<Millis>) {
         let daemons = self.edge.peers.borrow().most();
         let most = most_idle(self.passage.service.connections, daemons);
         let now = self.edge.now();
--- a/crates/thistlesill-edge/src/lanes.rs
+++ b/crates/thistlesill-edge/src/lanes.rs
@@ -5,7 +5,7 @@
 
 use thistlesill_core::Millis;
 use thistlesill_core::edge::{Target, TargetId};
-use thistlesill_net::lane::{Lane, LaneError};
+use thistlesill_net::lane::{ConnectionError, HttpConnection};
 use tokio::time::Instant;
 
 /// Unused connections kept per target, at most.
@@ -22,14 +22,14 @@
 
 #[derive(Debug)]
 struct Idle {
-    lane: Lane,
+    lane: HttpConnection,
     until: Millis,
 }
 
 /// A connection for one request.
 #[derive(Debug)]
 pub(crate) struct Taken {
-    pub(crate) lane: Lane,
+    pub(crate) lane: HttpConnection,
     /// Whether it was kept since an earlier request, and may have fallen silent.
     pub(crate) kept: bool,
 }
@@ -42,7 +42,7 @@
 
 impl Lanes {
     /// A connection that is ready, if one is kept.
-    fn take(&self, target: &TargetId, now: Millis) -> Option<Lane> {
+    fn take(&self, target: &TargetId, now: Millis) -> Option<HttpConnection> {
         let mut idle = self.idle.borrow_mut();
         let kept = idle.get_mut(target)?;
         while let Some(last) = kept.pop() {
@@ -60,7 +60,7 @@
         reuse: bool,
         now: Millis,
         until: Instant,
-    ) -> Result<Taken, LaneError> {
+    ) -> Result<Taken, ConnectionError> {
         let kept = if reuse {
             self.take(&target.id, now)
         } else {
@@ -70,7 +70,7 @@
             Ok(Taken { lane, kept: true })
         } else {
             metrics::counter!("thistlesill_edge_connections_total").increment(1);
-            let lane = Lane::open(target.address, until).await?;
+            let lane = HttpConnection::connect(target.address, until).await?;
             Ok(Taken { lane, kept: false })
         }
     }
@@ -80,7 +80,7 @@
     pub(crate) fn keep(
         &self,
         target: &TargetId,
-        lane: Lane,
+        lane: HttpConnection,
         keep: Option<Millis>,
         most: usize,
         now: Millis,
--- a/crates/thistlesill-edge/src/limits.rs
+++ b/crates/thistlesill-edge/src/limits.rs
@@ -339,7 +339,7 @@
     loop {
         tokio::select! {
             () = edge.limits.news.notified() => {}
-            () = edge.alarm.until(told + TELL) => {}
+            () = edge.alarm.sleep_until(told + TELL) => {}
         }
         tokio::time::sleep(GATHER).await;
         let now = edge.now();
--- a/crates/thistlesill-edge/src/peers/link.rs
+++ b/crates/thistlesill-edge/src/peers/link.rs
@@ -45,7 +45,7 @@
             // The gaps change with the requests, the list and the lease.
             DueHeartbeat::Wait(until) => {
                 let look = edge.now() + IDLE_BEAT;
-                edge.alarm.until(until.min(look)).await;
+                edge.alarm.sleep_until(until.min(look)).await;
             }
         }
     }
--- a/crates/thistlesill-edge/src/peers/transfer.rs
+++ b/crates/thistlesill-edge/src/peers/transfer.rs
@@ -280,7 +280,7 @@
     if let Question::Members(member) = &question {
         edge.peers.borrow_mut().note_member(member, edge.now());
         // Daemons that start together have told of themselves by then.
-        edge.alarm.until(edge.started + START_SPREAD).await;
+        edge.alarm.sleep_until(edge.started + START_SPREAD).await;
     }
     let place = line.places.acquire().await;
     let answer = match question {
--- a/crates/thistlesill-edge/src/proxy.rs
+++ b/crates/thistlesill-edge/src/proxy.rs
@@ -276,7 +276,10 @@
         target,
         flight,
     } = answered;
-    let read = edge.alarm.in_time(job.last_answer(), body.collect()).await;
+    let read = edge
+        .alarm
+        .timeout_at(job.last_answer(), body.collect())
+        .await;
     drop(flight);
     let body = match read {
         Some(Ok(body)) => body.to_bytes(),
--- a/crates/thistlesill-edge/src/relay.rs
+++ b/crates/thistlesill-edge/src/relay.rs
@@ -14,7 +14,7 @@
 use hyper::body::Incoming;
 use thistlesill_core::edge::{RouteKind, Target, TargetId};
 use thistlesill_core::{ErrorKind, Millis};
-use thistlesill_net::lane::Lane;
+use thistlesill_net::lane::HttpConnection;
 use thistlesill_platform::caller;
 use thistlesill_policy::edge::attempt::{Attempts, NextStep, Outcome, next_step};
 
@@ -60,7 +60,7 @@
         if due <= job.edge.now() {
             return;
         }
-        job.edge.alarm.until(due).await;
+        job.edge.alarm.sleep_until(due).await;
     }
 }
 
@@ -132,7 +132,7 @@
 /// Where a stream comes from.
 struct Source {
     body: Incoming,
-    lane: Lane,
+    lane: HttpConnection,
     target: Target,
     keep: Option<Millis>,
     closing: bool,
@@ -256,7 +256,7 @@
                 None if self.cutter.is_partial() => Some(Stop::Broken),
                 None => Some(Stop::Ended),
             },
-            () = job.edge.alarm.until(job.due) => Some(Stop::Late),
+            () = job.edge.alarm.sleep_until(job.due) => Some(Stop::Late),
             () = stalled => Some(Stop::Stalled),
         }
     }
--- a/crates/thistlesill-edge/src/relay/passing.rs
+++ b/crates/thistlesill-edge/src/relay/passing.rs
@@ -46,7 +46,7 @@
     async fn next(&mut self) -> Result<Option<Bytes>, BrokenOff> {
         loop {
             let alarm = &self.job.edge.alarm;
-            let frame = alarm.in_time(self.job.due, self.source.body.frame());
+            let frame = alarm.timeout_at(self.job.due, self.source.body.frame());
             let Some(frame) = frame.await else {
                 return Err(self.break_off("late_answer"));
             };
--- a/crates/thistlesill-edge/src/start.rs
+++ b/crates/thistlesill-edge/src/start.rs
@@ -87,7 +87,7 @@
                 return Word::Told;
             },
             // Without the list, this daemon knows of nobody above it.
-            () = edge.alarm.until(until) => return Word::From(Source::Store),
+            () = edge.alarm.sleep_until(until) => return Word::From(Source::Store),
         }
     }
     let settings = edge.settings();
--- a/crates/thistlesill-edge/src/state.rs
+++ b/crates/thistlesill-edge/src/state.rs
@@ -313,7 +313,7 @@
         let until = self.now() + FIRST_READS;
         while !self.has_learned() {
             let learned = self.learned.notified();
-            if self.alarm.in_time(until, learned).await.is_none() {
+            if self.alarm.timeout_at(until, learned).await.is_none() {
                 return;
             }
         }
--- a/crates/thistlesill-net/src/admin.rs
+++ b/crates/thistlesill-net/src/admin.rs
@@ -26,16 +26,16 @@
 
 /// A question of an operator to the daemon's loop, answered as JSON.
 #[derive(Debug)]
-pub struct Question {
+pub struct AdminRequest {
     /// What is asked.
-    pub ask: AdminAsk,
+    pub command: AdminCommand,
     /// Where the answer goes.
     pub reply: oneshot::Sender<AdminReply>,
 }
 
 /// What an operator can ask a daemon's loop.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum AdminAsk {
+pub enum AdminCommand {
     /// Whether it is ready for callers.
     Ready,
     /// Its figures.
@@ -70,7 +70,7 @@
 #[derive(Debug, Clone)]
 pub struct Admin {
     /// Takes questions to the loop.
-    pub questions: mpsc::Sender<Question>,
+    pub questions: mpsc::Sender<AdminRequest>,
     /// SHA-256 of the operators' token.
     pub token_sha256: String,
     /// The time line.
@@ -109,15 +109,15 @@
         };
         Router::new()
             .push(get("livez", Route::Live))
-            .push(get("readyz", Route::Ask(AdminAsk::Ready)))
+            .push(get("readyz", Route::Ask(AdminCommand::Ready)))
             .push(get("metrics", Route::Metrics))
-            .push(get("admin/status", Route::Ask(AdminAsk::Status)))
-            .push(get("admin/groups", Route::Ask(AdminAsk::Groups)))
-            .push(get("admin/instances", Route::Ask(AdminAsk::Instances)))
+            .push(get("admin/status", Route::Ask(AdminCommand::Status)))
+            .push(get("admin/groups", Route::Ask(AdminCommand::Groups)))
+            .push(get("admin/instances", Route::Ask(AdminCommand::Instances)))
             .push(get("admin/timeline", Route::Timeline))
             .push(Router::with_path("admin/drain").post(AdminHandler {
                 admin: shared.clone(),
-                route: Route::Ask(AdminAsk::Drain),
+                route: Route::Ask(AdminCommand::Drain),
             }))
     }
 
@@ -126,9 +126,15 @@
         sha256_hex(token.as_bytes()) == self.token_sha256
     }
 
-    async fn ask(&self, ask: AdminAsk) -> Option<AdminReply> {
+    async fn ask(&self, ask: AdminCommand) -> Option<AdminReply> {
         let (reply, answer) = oneshot::channel();
-        self.questions.send(Question { ask, reply }).await.ok()?;
+        self.questions
+            .send(AdminRequest {
+                command: ask,
+                reply,
+            })
+            .await
+            .ok()?;
         answer.await.ok()
     }
 }
@@ -156,7 +162,7 @@
     Live,
     Metrics,
     Timeline,
-    Ask(AdminAsk),
+    Ask(AdminCommand),
 }
 
 #[derive(Debug, Clone)]
@@ -176,7 +182,7 @@
     ) {
         let open = matches!(
             self.route,
-            Route::Live | Route::Metrics | Route::Ask(AdminAsk::Ready)
+            Route::Live | Route::Metrics | Route::Ask(AdminCommand::Ready)
         );
         if !open && !self.admin.permits(req) {
             write_error(res, &ErrorBody::new(ErrorKind::Unauthorized, None));
--- a/crates/thistlesill-net/src/base.rs
+++ b/crates/thistlesill-net/src/base.rs
@@ -9,12 +9,12 @@
 use thistlesill_core::{Millis, NodeId};
 use tokio::sync::mpsc;
 
-use crate::admin::{self, Admin, Question};
+use crate::admin::{self, Admin, AdminRequest};
 use crate::files::Secrets;
 use crate::journal::Journal;
-use crate::peer::{self, Heard, PeerError, PeerLink};
+use crate::peer::{self, PeerError, PeerLink, PeerMessage};
 use crate::platform::Platform;
-use crate::sync::{HeadWatch, Shelf, from_peer, from_platform};
+use crate::sync::{CurrentSettings, HeadWatch, from_peer, from_platform};
 
 /// Messages of peers that wait to be read.
 const PEER_QUEUE: usize = 1_024;
@@ -29,9 +29,9 @@
     /// The link to the peers.
     pub link: PeerLink,
     /// What peers say.
-    pub datagrams: mpsc::Receiver<Heard>,
+    pub datagrams: mpsc::Receiver<PeerMessage>,
     /// What operators ask.
-    pub questions: mpsc::Receiver<Question>,
+    pub admin_requests: mpsc::Receiver<AdminRequest>,
     /// Where new settings come from.
     pub feed: SettingsFeed,
     /// The platform.
@@ -47,25 +47,25 @@
     let (asked, questions) = mpsc::channel(QUESTION_QUEUE);
     let (heard, datagrams) = mpsc::channel(PEER_QUEUE);
     let journal = Journal::new(config.name.clone(), config.limits.events);
-    let shelf = Shelf::default();
+    let shelf = CurrentSettings::default();
     let key = secrets.key.clone();
     let link = PeerLink::bind(config.name.clone(), config.peer, key, journal.clone()).await?;
     tokio::spawn(link.clone().listen(heard));
     spawn_answers(config, secrets, shelf.clone());
     spawn_admin(config, secrets, asked, journal.clone());
-    journal.note(TimelineEvent::Started);
+    journal.record(TimelineEvent::Started);
     let platform = Platform::new(config.platform);
     Ok(Base {
         feed: SettingsFeed::new(config, shelf, link.clone(), platform.clone()),
         journal,
         link,
         datagrams,
-        questions,
+        admin_requests: questions,
         platform,
     })
 }
 
-fn spawn_answers(config: &DaemonConfig, secrets: &Secrets, shelf: Shelf) {
+fn spawn_answers(config: &DaemonConfig, secrets: &Secrets, shelf: CurrentSettings) {
     let serve = peer::answer(config.peer, secrets.key.clone(), move |ask| {
         shelf.reply(&ask)
     });
@@ -79,7 +79,7 @@
 fn spawn_admin(
     config: &DaemonConfig,
     secrets: &Secrets,
-    questions: mpsc::Sender<Question>,
+    questions: mpsc::Sender<AdminRequest>,
     journal: Journal,
 ) {
     let admin = Admin {
@@ -96,7 +96,7 @@
 #[derive(Debug)]
 pub struct SettingsFeed {
     /// The settings in force, for the daemon's other tasks.
-    pub shelf: Shelf,
+    pub current: CurrentSettings,
     heads: HeadWatch,
     link: PeerLink,
     platform: Platform,
@@ -104,14 +104,19 @@
 }
 
 impl SettingsFeed {
-    fn new(config: &DaemonConfig, shelf: Shelf, link: PeerLink, platform: Platform) -> Self {
+    fn new(
+        config: &DaemonConfig,
+        shelf: CurrentSettings,
+        link: PeerLink,
+        platform: Platform,
+    ) -> Self {
         let heads = HeadWatch::new(
             config.name.clone(),
             config.hall.clone(),
             config.periods.head_ms,
         );
         Self {
-            shelf,
+            current: shelf,
             heads,
             link,
             platform,
@@ -125,7 +130,7 @@
         if !self.heads.is_due(now) {
             return;
         }
-        let (platform, shelf) = (self.platform.clone(), self.shelf.clone());
+        let (platform, shelf) = (self.platform.clone(), self.current.clone());
         tokio::spawn(async move {
             if let Some(tree) = from_platform(&platform, &shelf).await {
                 take(tree);
@@ -134,7 +139,7 @@
     }
 
     /// Notes which revision a peer has, and asks it for newer settings.
-    pub fn heard(
+    pub fn receive_head(
         &mut self,
         from: &NodeId,
         revision: u64,
@@ -145,10 +150,10 @@
             return;
         };
         self.heads.heard(peer, now);
-        if revision <= self.shelf.revision() || !self.heads.may_fetch(now) {
+        if revision <= self.current.revision() || !self.heads.may_fetch(now) {
             return;
         }
-        let (link, shelf, address) = (self.link.clone(), self.shelf.clone(), peer.peer);
+        let (link, shelf, address) = (self.link.clone(), self.current.clone(), peer.peer);
         tokio::spawn(async move {
             if let Some(tree) = from_peer(&link, address, &shelf).await {
                 take(tree);
--- a/crates/thistlesill-net/src/clock.rs
+++ b/crates/thistlesill-net/src/clock.rs
@@ -13,15 +13,15 @@
 const LEAST: Millis = Millis::new(100);
 
 /// Reads a clock that only goes on.
-pub type Reading = fn() -> Duration;
+pub type ClockSource = fn() -> Duration;
 
 /// A process's clocks.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     /// Goes on while the machine is suspended.
-    boot: Reading,
+    boot: ClockSource,
     /// Stands still then; timers go by it.
-    steady: Reading,
+    steady: ClockSource,
     start: Moment,
 }
 
@@ -40,13 +40,13 @@
     /// Starts the clock.
     #[must_use]
     pub fn new() -> Self {
-        Self::reading(read_boot, read_steady)
+        Self::with_sources(read_boot, read_steady)
     }
 
     /// Starts a clock by what these functions read: one that goes on while the machine is
     /// suspended, and one that does not.
     #[must_use]
-    pub fn reading(boot: Reading, steady: Reading) -> Self {
+    pub fn with_sources(boot: ClockSource, steady: ClockSource) -> Self {
         Self {
             boot,
             steady,
@@ -102,7 +102,7 @@
     }
 
     /// Sleeps until a moment.
-    pub async fn until(&self, at: Millis) {
+    pub async fn sleep_until(&self, at: Millis) {
         loop {
             let woke = self.woke.notified();
             let left = at - self.clock.now();
@@ -117,17 +117,17 @@
     }
 
     /// Awaits a step until a moment; `None` if it takes longer.
-    pub async fn in_time<T>(&self, at: Millis, step: impl Future<Output = T>) -> Option<T> {
+    pub async fn timeout_at<T>(&self, at: Millis, step: impl Future<Output = T>) -> Option<T> {
         tokio::select! {
             biased;
             done = step => Some(done),
-            () = self.until(at) => None,
+            () = self.sleep_until(at) => None,
         }
     }
 
     /// Looks whether the machine was suspended since the last look, and for how long; all
     /// waits then look at the clock.
-    pub fn look(&self) -> Option<Millis> {
+    pub fn check_suspension(&self) -> Option<Millis> {
         let suspended = self.clock.suspended();
         let since = suspended - self.suspended.get();
         if since < LEAST {
--- a/crates/thistlesill-net/src/engine.rs
+++ b/crates/thistlesill-net/src/engine.rs
@@ -16,7 +16,7 @@
 use thistlesill_core::seal::SharedKey;
 use thistlesill_core::{Adapter, GroupId, Millis, RequestId};
 
-use crate::http::{HttpClient, HttpError, decode, encode, finish};
+use crate::http::{HttpClient, HttpError, build_request, decode, encode};
 
 /// Header with the request's id.
 pub const REQUEST_HEADER: &str = "x-request-id";
@@ -60,9 +60,9 @@
     /// The adapter.
     pub adapter: Option<Adapter>,
     /// Time until the deadline.
-    pub left: Millis,
+    pub time_left: Millis,
     /// What is asked for.
-    pub ask: StreamAsk,
+    pub operation: StreamOperation,
     /// Whether the request may be repeated; if not, it gets a connection of
     /// its own.
     pub repeatable: bool,
@@ -70,7 +70,7 @@
 
 /// What a streaming request asks for.
 #[derive(Debug, Clone)]
-pub enum StreamAsk {
+pub enum StreamOperation {
     /// A completion; `offset` is the first piece wanted when the body holds
     /// what was delivered before.
     Complete {
@@ -134,7 +134,7 @@
     /// The target did not run the call.
     Refused,
     /// The whole answer.
-    Whole(Response<Bytes>),
+    Complete(Response<Bytes>),
     /// The connection was lost.
     Broken,
 }
@@ -197,14 +197,14 @@
         let head = Request::post(format!("http://{address}/control/order"))
             .header("content-type", "application/json")
             .header(PROOF_HEADER, hex::encode(proof));
-        let request = finish(head, body)?;
+        let request = build_request(head, body)?;
         decode(&self.pooled.call(request, ORDER_LIMIT).await?)
     }
 
     /// Tells a leader to cancel a request.
     pub async fn cancel(&self, address: SocketAddr, request: RequestId) {
         let url = format!("http://{address}/v1/streams/{request}/cancel");
-        let Ok(call) = finish(Request::post(url), Bytes::new()) else {
+        let Ok(call) = build_request(Request::post(url), Bytes::new()) else {
             return;
         };
         // A cancel that is lost costs the engine some tokens, nothing else.
@@ -223,7 +223,7 @@
             take(StreamEvent::Unsent);
             return;
         };
-        let limit = call.left.duration() + Duration::from_secs(1);
+        let limit = call.time_left.duration() + Duration::from_secs(1);
         let response = match client.send(request, limit).await {
             Err(HttpError::Unsent { .. }) => {
                 take(StreamEvent::Unsent);
@@ -258,21 +258,21 @@
             Err(HttpError::Unsent { .. }) => PlainResult::Unsent,
             Err(_) => PlainResult::Broken,
             Ok(answer) if says_not_run(&answer) => PlainResult::Refused,
-            Ok(answer) => PlainResult::Whole(answer),
+            Ok(answer) => PlainResult::Complete(answer),
         }
     }
 }
 
 fn stream_request(call: &StreamCall) -> Result<Request<http_body_util::Full<Bytes>>, HttpError> {
     let address = call.address;
-    let (head, body) = match &call.ask {
-        StreamAsk::Complete { path, body, offset } => {
+    let (head, body) = match &call.operation {
+        StreamOperation::Complete { path, body, offset } => {
             let head = Request::post(format!("http://{address}{path}"))
                 .header("content-type", "application/json")
                 .header(OFFSET_HEADER, offset.to_string());
             (head, body.clone())
         }
-        StreamAsk::Resume { offset } => {
+        StreamOperation::Resume { offset } => {
             let request = call.request;
             let url = format!("http://{address}/v1/streams/{request}/resume");
             let head = Request::post(url).header(OFFSET_HEADER, offset.to_string());
@@ -284,11 +284,11 @@
         .header(GROUP_HEADER, call.group.as_str())
         .header(EPOCH_HEADER, call.epoch.to_string())
         .header(PRIORITY_HEADER, call.priority.to_string())
-        .header(DEADLINE_HEADER, call.left.get().to_string());
+        .header(DEADLINE_HEADER, call.time_left.get().to_string());
     if let Some(adapter) = &call.adapter {
         head = head.header(ADAPTER_HEADER, adapter.as_str());
     }
-    finish(head, body)
+    build_request(head, body)
 }
 
 fn says_not_run<T>(answer: &Response<T>) -> bool {
--- a/crates/thistlesill-net/src/http.rs
+++ b/crates/thistlesill-net/src/http.rs
@@ -148,7 +148,11 @@
         limit: Duration,
     ) -> Result<T, HttpError> {
         let request = Request::get(format!("http://{address}{path}"));
-        decode(&self.call(finish(request, Bytes::new())?, limit).await?)
+        decode(
+            &self
+                .call(build_request(request, Bytes::new())?, limit)
+                .await?,
+        )
     }
 
     /// Posts a JSON value and reads one back.
@@ -165,7 +169,11 @@
     ) -> Result<T, HttpError> {
         let request = Request::post(format!("http://{address}{path}"))
             .header("content-type", "application/json");
-        decode(&self.call(finish(request, encode(body)?)?, limit).await?)
+        decode(
+            &self
+                .call(build_request(request, encode(body)?)?, limit)
+                .await?,
+        )
     }
 }
 
@@ -186,7 +194,7 @@
 /// # Errors
 ///
 /// [`HttpError::Unsent`] if the head is malformed.
-pub fn finish(
+pub fn build_request(
     head: hyper::http::request::Builder,
     body: Bytes,
 ) -> Result<Request<Full<Bytes>>, HttpError> {
--- a/crates/thistlesill-net/src/journal.rs
+++ b/crates/thistlesill-net/src/journal.rs
@@ -35,7 +35,7 @@
     }
 
     /// Notes an event.
-    pub fn note(&self, what: TimelineEvent) {
+    pub fn record(&self, what: TimelineEvent) {
         self.with(|inner| {
             let stamp = inner.clock.tick(Clock::wall());
             inner.ring.push(Record {
--- a/crates/thistlesill-net/src/lane.rs
+++ b/crates/thistlesill-net/src/lane.rs
@@ -20,7 +20,7 @@
 
 /// Why a request on a connection brought no answer.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
-pub enum LaneError {
+pub enum ConnectionError {
     /// Nothing listens at the address; nothing was sent.
     #[snafu(display("connection refused"))]
     Refused,
@@ -38,36 +38,36 @@
     },
     /// No answer came in time; the request may have arrived.
     #[snafu(display("no answer in time"))]
-    Late,
+    TimedOut,
 }
 
 /// An open connection that carries one request at a time.
 ///
 /// Dropping it closes the connection, whatever is under way.
 #[derive(Debug)]
-pub struct Lane {
+pub struct HttpConnection {
     sender: SendRequest<Full<Bytes>>,
     task: JoinHandle<()>,
 }
 
-impl Lane {
+impl HttpConnection {
     /// Connects to an address.
     ///
     /// # Errors
     ///
-    /// [`LaneError::Refused`] if nothing listens there, [`LaneError::Unsent`]
+    /// [`ConnectionError::Refused`] if nothing listens there, [`ConnectionError::Unsent`]
     /// if the connection does not come up by `until`.
-    pub async fn open(address: SocketAddr, until: Instant) -> Result<Self, LaneError> {
+    pub async fn connect(address: SocketAddr, until: Instant) -> Result<Self, ConnectionError> {
         let connect = TcpStream::connect(address);
         let stream = match timeout_at(until, connect).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => {
-                return Err(LaneError::Refused);
+                return Err(ConnectionError::Refused);
             }
             Ok(Err(error)) => return Err(unsent(&error)),
             Err(_) => {
                 let text = "the connection did not come up in time".to_owned();
-                return Err(LaneError::Unsent { text });
+                return Err(ConnectionError::Unsent { text });
             }
         };
         stream.set_nodelay(true).map_err(|e| unsent(&e))?;
@@ -93,12 +93,12 @@
     ///
     /// # Errors
     ///
-    /// A [`LaneError`] that tells whether the request can have arrived.
+    /// A [`ConnectionError`] that tells whether the request can have arrived.
     pub async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
         until: Instant,
-    ) -> Result<Response<Incoming>, LaneError> {
+    ) -> Result<Response<Incoming>, ConnectionError> {
         let answer = self.sender.try_send_request(request);
         match timeout_at(until, answer).await {
             Ok(Ok(response)) => Ok(response),
@@ -106,12 +106,12 @@
                 let kept = error.take_message().is_some();
                 let text = error.into_error().to_string();
                 Err(if kept {
-                    LaneError::Unsent { text }
+                    ConnectionError::Unsent { text }
                 } else {
-                    LaneError::Lost { text }
+                    ConnectionError::Lost { text }
                 })
             }
-            Err(_) => Err(LaneError::Late),
+            Err(_) => Err(ConnectionError::TimedOut),
         }
     }
 
@@ -119,34 +119,34 @@
     ///
     /// # Errors
     ///
-    /// As [`Lane::send`]; an answer that breaks off or exceeds `most` bytes
-    /// is [`LaneError::Lost`].
+    /// As [`HttpConnection::send`]; an answer that breaks off or exceeds `most` bytes
+    /// is [`ConnectionError::Lost`].
     pub async fn call(
         &mut self,
         request: Request<Full<Bytes>>,
         most: usize,
         until: Instant,
-    ) -> Result<Response<Bytes>, LaneError> {
+    ) -> Result<Response<Bytes>, ConnectionError> {
         let (head, body) = self.send(request, until).await?.into_parts();
         let read = Limited::new(body, most).collect();
         match timeout_at(until, read).await {
             Ok(Ok(body)) => Ok(Response::from_parts(head, body.to_bytes())),
             Ok(Err(error)) => {
                 let text = error.to_string();
-                Err(LaneError::Lost { text })
+                Err(ConnectionError::Lost { text })
             }
-            Err(_) => Err(LaneError::Late),
+            Err(_) => Err(ConnectionError::TimedOut),
         }
     }
 }
 
-impl Drop for Lane {
+impl Drop for HttpConnection {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-impl LaneError {
+impl ConnectionError {
     /// Whether nothing of the request can have arrived.
     pub const fn is_unsent(&self) -> bool {
         matches!(self, Self::Refused | Self::Unsent { .. })
@@ -161,7 +161,7 @@
     Instant::now() + limit
 }
 
-fn unsent(error: &dyn std::error::Error) -> LaneError {
+fn unsent(error: &dyn std::error::Error) -> ConnectionError {
     let text = error.to_string();
-    LaneError::Unsent { text }
+    ConnectionError::Unsent { text }
 }
--- a/crates/thistlesill-net/src/peer.rs
+++ b/crates/thistlesill-net/src/peer.rs
@@ -52,7 +52,7 @@
 
 /// A datagram that was accepted.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Heard {
+pub struct PeerMessage {
     /// The sender.
     pub from: NodeId,
     /// Our wall clock less the sender's, in milliseconds.
@@ -95,7 +95,7 @@
 
     /// Sends a message to each of the peers. A message that is lost is made
     /// good by a later one.
-    pub fn tell<'a>(&self, peers: impl IntoIterator<Item = &'a PeerConfig>, body: PeerBody) {
+    pub fn send<'a>(&self, peers: impl IntoIterator<Item = &'a PeerConfig>, body: PeerBody) {
         let datagram = Datagram {
             from: self.me.clone(),
             stamp: self.journal.stamp(),
@@ -115,7 +115,7 @@
     }
 
     /// Receives datagrams until the receiver of `out` is gone.
-    pub async fn listen(self, out: mpsc::Sender<Heard>) {
+    pub async fn listen(self, out: mpsc::Sender<PeerMessage>) {
         let mut buffer = vec![0; MAX_DATAGRAM + 1];
         loop {
             let Ok((length, _)) = self.socket.recv_from(&mut buffer).await else {
@@ -136,13 +136,13 @@
         }
     }
 
-    fn open(&self, bytes: &[u8]) -> Result<Heard, SealError> {
+    fn open(&self, bytes: &[u8]) -> Result<PeerMessage, SealError> {
         if bytes.len() > MAX_DATAGRAM {
             return Err(SealError::Length);
         }
         let datagram: Datagram = self.key.open(bytes)?;
         self.journal.merge(datagram.stamp);
-        Ok(Heard {
+        Ok(PeerMessage {
             from: datagram.from,
             lag: Clock::wall().cast_signed() - datagram.stamp.wall.cast_signed(),
             body: datagram.body,
--- a/crates/thistlesill-net/src/sync.rs
+++ b/crates/thistlesill-net/src/sync.rs
@@ -22,19 +22,19 @@
 
 /// The settings in force in a process, for its other tasks to read.
 #[derive(Debug, Clone, Default)]
-pub struct Shelf {
+pub struct CurrentSettings {
     tree: Arc<ArcSwapOption<Tree>>,
     changes: Arc<Mutex<VecDeque<ChangeEntry>>>,
 }
 
-impl Shelf {
+impl CurrentSettings {
     /// The settings in force.
     pub fn get(&self) -> Option<Arc<Tree>> {
         self.tree.load_full()
     }
 
     /// Puts settings in force, unless newer ones are.
-    pub fn put(&self, tree: &Arc<Tree>) {
+    pub fn update(&self, tree: &Arc<Tree>) {
         let old = self.get();
         if old
             .as_ref()
@@ -155,7 +155,7 @@
 
 /// Reads the settings from the table if they are newer than those on the
 /// shelf: the edits since, or the whole tree if these are many.
-pub async fn from_platform(platform: &Platform, shelf: &Shelf) -> Option<Arc<Tree>> {
+pub async fn from_platform(platform: &Platform, shelf: &CurrentSettings) -> Option<Arc<Tree>> {
     let have = shelf.get();
     let head = platform.read(vec![HEAD_KEY.into()]).await.ok()?;
     let revision = head.find(HEAD_KEY)?.decode::<HeadRow>().ok()?.revision;
@@ -171,7 +171,7 @@
         }
     }
     let rows = platform.read(vec![SETTINGS_PREFIX.into()]).await.ok()?;
-    tree_of(&rows)
+    tree_from_rows(&rows)
         .filter(|t| t.revision() > known)
         .map(Arc::new)
 }
@@ -194,7 +194,7 @@
 }
 
 /// Makes a tree of the rows of one read; `None` if they are not all sound.
-pub fn tree_of(rows: &Rows) -> Option<Tree> {
+pub fn tree_from_rows(rows: &Rows) -> Option<Tree> {
     let head: HeadRow = rows.find(HEAD_KEY)?.decode().ok()?;
     let mut branches = BTreeMap::new();
     for row in &rows.rows {
@@ -206,7 +206,11 @@
 }
 
 /// Reads the settings from a peer if they are newer than those on the shelf.
-pub async fn from_peer(link: &PeerLink, peer: SocketAddr, shelf: &Shelf) -> Option<Arc<Tree>> {
+pub async fn from_peer(
+    link: &PeerLink,
+    peer: SocketAddr,
+    shelf: &CurrentSettings,
+) -> Option<Arc<Tree>> {
     let have = shelf.revision();
     let reply = link
         .ask(peer, &StreamRequest::Settings { have })
--- a/crates/thistlesill-net/tests/clock.rs
+++ b/crates/thistlesill-net/tests/clock.rs
@@ -29,7 +29,7 @@
 #[test]
 fn decisions_count_the_time_in_which_the_machine_was_suspended() {
     clocks!(BOOT, STEADY);
-    let clock = Clock::reading(|| read(&BOOT), || read(&STEADY));
+    let clock = Clock::with_sources(|| read(&BOOT), || read(&STEADY));
     let start = clock.now();
     go_on(&BOOT, 300);
     go_on(&STEADY, 300);
@@ -56,19 +56,19 @@
 #[tokio::test(flavor = "current_thread")]
 async fn a_wait_ends_when_its_moment_has_passed_while_the_machine_was_suspended() {
     clocks!(BOOT, STEADY);
-    let clock = Clock::reading(|| read(&BOOT), || read(&STEADY));
+    let clock = Clock::with_sources(|| read(&BOOT), || read(&STEADY));
     let alarm = Alarm::new(clock);
     let at = clock.now() + Millis::new(5_000);
-    let wait = alarm.until(at);
+    let wait = alarm.sleep_until(at);
     tokio::pin!(wait);
     let soon = Duration::from_millis(20);
     assert!(tokio::time::timeout(soon, &mut wait).await.is_err());
-    assert_eq!(alarm.look(), None);
+    assert_eq!(alarm.check_suspension(), None);
     go_on(&BOOT, 4_000);
-    assert_eq!(alarm.look(), Some(Millis::new(4_000)));
+    assert_eq!(alarm.check_suspension(), Some(Millis::new(4_000)));
     assert!(tokio::time::timeout(soon, &mut wait).await.is_err());
     go_on(&BOOT, 1_000);
-    assert_eq!(alarm.look(), Some(Millis::new(1_000)));
+    assert_eq!(alarm.check_suspension(), Some(Millis::new(1_000)));
     let ended = tokio::time::timeout(soon, &mut wait).await;
     assert!(ended.is_ok(), "it waits by the steady clock");
 }
@@ -76,6 +76,6 @@
 #[tokio::test(flavor = "current_thread")]
 async fn a_step_that_was_done_is_not_late() {
     let alarm = Alarm::new(Clock::new());
-    let done = alarm.in_time(Millis::ZERO, async { 7 }).await;
+    let done = alarm.timeout_at(Millis::ZERO, async { 7 }).await;
     assert_eq!(done, Some(7));
 }
--- a/crates/thistlesill-net/tests/cuts.rs
+++ b/crates/thistlesill-net/tests/cuts.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use thistlesill_core::seal::SharedKey;
 use thistlesill_core::{Millis, RequestId};
-use thistlesill_net::engine::{Engines, StreamAsk, StreamCall, StreamEvent};
+use thistlesill_net::engine::{Engines, StreamCall, StreamEvent, StreamOperation};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
@@ -61,8 +61,8 @@
         epoch: 1,
         priority: 5,
         adapter: None,
-        left: Millis::new(2_000),
-        ask: StreamAsk::Complete {
+        time_left: Millis::new(2_000),
+        operation: StreamOperation::Complete {
             path: "/v1/chat/completions",
             body: Bytes::from_static(b"{}"),
             offset: 0,
--- a/crates/thistlesill-net/tests/shelf.rs
+++ b/crates/thistlesill-net/tests/shelf.rs
@@ -5,7 +5,7 @@
 
 use thistlesill_core::message::{StreamReply, StreamRequest};
 use thistlesill_core::settings::{Branch, Tree};
-use thistlesill_net::sync::Shelf;
+use thistlesill_net::sync::CurrentSettings;
 
 fn tree(revision: u64, branches: usize) -> Arc<Tree> {
     let branch = |n: usize| {
@@ -27,23 +27,23 @@
     Arc::new(Tree::new(revision, branches))
 }
 
-fn ask(shelf: &Shelf, have: u64) -> StreamReply {
+fn ask(shelf: &CurrentSettings, have: u64) -> StreamReply {
     shelf.reply(&StreamRequest::Settings { have })
 }
 
 #[test]
 fn lower_revision_never_replaces_a_higher_one() {
-    let shelf = Shelf::default();
-    shelf.put(&tree(5, 2));
-    shelf.put(&tree(4, 2));
+    let shelf = CurrentSettings::default();
+    shelf.update(&tree(5, 2));
+    shelf.update(&tree(4, 2));
     assert_eq!(shelf.revision(), 5);
 }
 
 #[test]
 fn peer_that_lags_gets_the_changes_only() {
-    let shelf = Shelf::default();
+    let shelf = CurrentSettings::default();
     for revision in 1..=4 {
-        shelf.put(&tree(revision, 1_000));
+        shelf.update(&tree(revision, 1_000));
     }
     assert_eq!(ask(&shelf, 4), StreamReply::Nothing);
     let StreamReply::Changes { changes } = ask(&shelf, 2) else {
@@ -59,9 +59,9 @@
 
 #[test]
 fn peer_that_has_nothing_or_too_old_settings_gets_the_whole_tree() {
-    let shelf = Shelf::default();
+    let shelf = CurrentSettings::default();
     for revision in 1..=100 {
-        shelf.put(&tree(revision, 3));
+        shelf.update(&tree(revision, 3));
     }
     for have in [0, 7] {
         let reply = ask(&shelf, have);
@@ -72,9 +72,9 @@
 
 #[test]
 fn changes_lead_to_the_same_tree() {
-    let shelf = Shelf::default();
-    shelf.put(&tree(1, 5));
-    shelf.put(&tree(2, 3));
+    let shelf = CurrentSettings::default();
+    shelf.update(&tree(1, 5));
+    shelf.update(&tree(2, 3));
     let StreamReply::Changes { changes } = ask(&shelf, 1) else {
         panic!("changes");
     };
--- a/crates/thistlesill-planner/src/daemon.rs
+++ b/crates/thistlesill-planner/src/daemon.rs
@@ -13,13 +13,13 @@
 use thistlesill_core::table::{RowKey, Txn};
 use thistlesill_core::timeline::TimelineEvent;
 use thistlesill_core::{HallId, Millis};
-use thistlesill_net::admin::{AdminAsk, AdminReply, Question};
+use thistlesill_net::admin::{AdminCommand, AdminReply, AdminRequest};
 use thistlesill_net::base::{self, SettingsFeed};
 use thistlesill_net::clock::Clock;
 use thistlesill_net::engine::Engines;
 use thistlesill_net::files::Secrets;
 use thistlesill_net::journal::Journal;
-use thistlesill_net::peer::{Heard, PeerError, PeerLink};
+use thistlesill_net::peer::{PeerError, PeerLink, PeerMessage};
 use thistlesill_net::platform::Platform;
 use thistlesill_policy::plan::Strategy;
 use thistlesill_policy::planner::{PlannerAction, PlannerCore, PlannerEvent, PlannerOptions};
@@ -78,7 +78,7 @@
     let (events, mut inbox) = mpsc::unbounded_channel();
     let core = PlannerCore::new(options(&config)).context(ChartsSnafu)?;
     let base = base::start(&config, &secrets).await.context(PeersSnafu)?;
-    let (mut asked, mut datagrams) = (base.questions, base.datagrams);
+    let (mut asked, mut datagrams) = (base.admin_requests, base.datagrams);
     let mut daemon = Daemon {
         core,
         clock: Clock::new(),
@@ -191,8 +191,8 @@
         });
     }
 
-    fn hear(&mut self, message: Heard) {
-        let Heard { from, lag, body } = message;
+    fn hear(&mut self, message: PeerMessage) {
+        let PeerMessage { from, lag, body } = message;
         match body {
             PeerBody::Beat(beat) => self.step(PlannerEvent::Heartbeat {
                 from,
@@ -203,21 +203,22 @@
             PeerBody::Want => self.step(PlannerEvent::DigestRequested(from)),
             PeerBody::Head { revision } => {
                 let take = self.settings_sink();
-                self.feed.heard(&from, revision, self.clock.now(), take);
+                self.feed
+                    .receive_head(&from, revision, self.clock.now(), take);
             }
             PeerBody::Usage(_) | PeerBody::Fatal(_) => {}
         }
     }
 
-    fn answer(&mut self, question: Question) {
+    fn answer(&mut self, question: AdminRequest) {
         let now = self.clock.now();
-        let reply = match question.ask {
-            AdminAsk::Ready if self.core.is_ready() => AdminReply::Yes,
-            AdminAsk::Ready => AdminReply::No,
-            AdminAsk::Status => AdminReply::value(&self.core.status(now)),
-            AdminAsk::Groups => AdminReply::value(&self.core.halls(now)),
-            AdminAsk::Instances => AdminReply::value(&self.core.instances(now)),
-            AdminAsk::Drain => {
+        let reply = match question.command {
+            AdminCommand::Ready if self.core.is_ready() => AdminReply::Yes,
+            AdminCommand::Ready => AdminReply::No,
+            AdminCommand::Status => AdminReply::value(&self.core.status(now)),
+            AdminCommand::Groups => AdminReply::value(&self.core.halls(now)),
+            AdminCommand::Instances => AdminReply::value(&self.core.instances(now)),
+            AdminCommand::Drain => {
                 self.stop();
                 AdminReply::Yes
             }
@@ -240,28 +241,28 @@
                 address,
             } => self.give(hall, order, address),
             PlannerAction::SendHeartbeat(beat) => {
-                self.link.tell(&self.config.peers, PeerBody::Beat(beat));
+                self.link.send(&self.config.peers, PeerBody::Beat(beat));
             }
             PlannerAction::SendDigest { to, parts } => {
                 for part in parts {
                     let peers = self.config.peers.iter().filter(|p| p.name == to);
-                    self.link.tell(peers, PeerBody::Digest(part));
+                    self.link.send(peers, PeerBody::Digest(part));
                 }
             }
             PlannerAction::RequestDigest(to) => {
                 let peers = self.config.peers.iter().filter(|p| p.name == to);
-                self.link.tell(peers, PeerBody::Want);
+                self.link.send(peers, PeerBody::Want);
             }
             PlannerAction::SendHead(revision) => {
                 if let Some(tree) = self.core.tree() {
-                    self.feed.shelf.put(tree);
+                    self.feed.current.update(tree);
                 }
                 self.link
-                    .tell(&self.config.peers, PeerBody::Head { revision });
+                    .send(&self.config.peers, PeerBody::Head { revision });
             }
             PlannerAction::Note(what) => {
                 log_event(&what);
-                self.journal.note(what);
+                self.journal.record(what);
             }
             PlannerAction::Exit => self.exit = true,
         }
--- a/crates/thistlesill-router/src/callers.rs
+++ b/crates/thistlesill-router/src/callers.rs
@@ -20,7 +20,7 @@
 use thistlesill_core::seal::sha256_hex;
 use thistlesill_core::{CustomerId, ErrorKind, RequestId, ServiceName};
 use thistlesill_net::admin::{bearer, server, write_error};
-use thistlesill_net::sync::Shelf;
+use thistlesill_net::sync::CurrentSettings;
 use thistlesill_policy::router::{Arrival, ResumePoint, Wanted};
 use thistlesill_policy::serving::GroupKey;
 use tokio::sync::{mpsc, oneshot};
@@ -64,7 +64,7 @@
 ///
 /// If the settings have no address for callers, which their check rules out, or if that address
 /// cannot be bound.
-pub fn spawn(config: &DaemonConfig, shelf: Shelf, events: Events) -> Callers {
+pub fn spawn(config: &DaemonConfig, shelf: CurrentSettings, events: Events) -> Callers {
     let address = config.callers.expect("checked settings of a router");
     let shared = Arc::new(Shared {
         shelf,
@@ -78,7 +78,7 @@
 }
 
 struct Shared {
-    shelf: Shelf,
+    shelf: CurrentSettings,
     events: Events,
     limits: Limits,
 }
--- a/crates/thistlesill-router/src/daemon.rs
+++ b/crates/thistlesill-router/src/daemon.rs
@@ -15,13 +15,13 @@
 use thistlesill_core::message::PeerBody;
 use thistlesill_core::settings::Tree;
 use thistlesill_core::{ErrorKind, Millis, Model, RequestId};
-use thistlesill_net::admin::{AdminAsk, AdminReply, Question};
+use thistlesill_net::admin::{AdminCommand, AdminReply, AdminRequest};
 use thistlesill_net::base::{self, SettingsFeed};
 use thistlesill_net::clock::Clock;
 use thistlesill_net::engine::Engines;
 use thistlesill_net::files::Secrets;
 use thistlesill_net::journal::Journal;
-use thistlesill_net::peer::{Heard, PeerError, PeerLink};
+use thistlesill_net::peer::{PeerError, PeerLink, PeerMessage};
 use thistlesill_net::platform::Platform;
 use thistlesill_policy::pick::PickRule;
 use thistlesill_policy::router::{
@@ -134,8 +134,8 @@
     let (events, mut loop_events) = mpsc::unbounded_channel();
     let core = RouterCore::new(options(&config)).context(ChartsSnafu)?;
     let base = base::start(&config, &secrets).await.context(PeersSnafu)?;
-    let (mut admin_questions, mut datagrams) = (base.questions, base.datagrams);
-    let callers = callers::spawn(&config, base.feed.shelf.clone(), events.clone());
+    let (mut admin_questions, mut datagrams) = (base.admin_requests, base.datagrams);
+    let callers = callers::spawn(&config, base.feed.current.clone(), events.clone());
     let mut daemon = Daemon {
         core,
         clock: Clock::new(),
@@ -277,8 +277,8 @@
         move |tree| drop(events.send(LoopEvent::Core(Box::new(RouterEvent::Settings(tree)))))
     }
 
-    fn handle_message(&mut self, message: Heard) {
-        let Heard { from, lag, body } = message;
+    fn handle_message(&mut self, message: PeerMessage) {
+        let PeerMessage { from, lag, body } = message;
         match body {
             PeerBody::Beat(heartbeat) => self.step(RouterEvent::Heartbeat {
                 from,
@@ -291,19 +291,19 @@
             PeerBody::Head { revision } => {
                 let on_settings = self.settings_sink();
                 self.feed
-                    .heard(&from, revision, self.clock.now(), on_settings);
+                    .receive_head(&from, revision, self.clock.now(), on_settings);
             }
             PeerBody::Want => {}
         }
     }
 
-    fn answer_admin(&mut self, question: Question) {
-        let reply = match question.ask {
-            AdminAsk::Ready if self.core.is_ready() => AdminReply::Yes,
-            AdminAsk::Status => AdminReply::value(&self.core.status()),
-            AdminAsk::Groups => AdminReply::value(self.core.roster()),
-            AdminAsk::Ready | AdminAsk::Instances => AdminReply::No,
-            AdminAsk::Drain => {
+    fn answer_admin(&mut self, question: AdminRequest) {
+        let reply = match question.command {
+            AdminCommand::Ready if self.core.is_ready() => AdminReply::Yes,
+            AdminCommand::Status => AdminReply::value(&self.core.status()),
+            AdminCommand::Groups => AdminReply::value(self.core.roster()),
+            AdminCommand::Ready | AdminCommand::Instances => AdminReply::No,
+            AdminCommand::Drain => {
                 self.stop();
                 AdminReply::Yes
             }
@@ -345,24 +345,24 @@
             }
             RouterAction::RequestDigest(to) => {
                 let peers = self.config.peers.iter().filter(|p| p.name == to);
-                self.link.tell(peers, PeerBody::Want);
+                self.link.send(peers, PeerBody::Want);
             }
             RouterAction::SendUsage(usage) => {
                 let routers = self.config.peers.iter().filter(|p| p.role == Role::Router);
-                self.link.tell(routers, PeerBody::Usage(usage));
+                self.link.send(routers, PeerBody::Usage(usage));
             }
             RouterAction::SendFatal(fatal) => {
                 let routers = self.config.peers.iter().filter(|p| p.role == Role::Router);
-                self.link.tell(routers, PeerBody::Fatal(fatal));
+                self.link.send(routers, PeerBody::Fatal(fatal));
             }
             RouterAction::SendHead(revision) => {
                 if let Some(tree) = self.core.tree() {
-                    self.feed.shelf.put(tree);
+                    self.feed.current.update(tree);
                 }
                 self.link
-                    .tell(&self.config.peers, PeerBody::Head { revision });
+                    .send(&self.config.peers, PeerBody::Head { revision });
             }
-            RouterAction::Note(what) => self.journal.note(what),
+            RouterAction::Note(what) => self.journal.record(what),
             RouterAction::Exit => self.exit = true,
         }
     }
--- a/crates/thistlesill-router/src/send.rs
+++ b/crates/thistlesill-router/src/send.rs
@@ -6,10 +6,10 @@
 use salvo::hyper::{Request, Response};
 use thistlesill_core::RequestId;
 use thistlesill_net::engine::{
-    DEADLINE_HEADER, Engines, PRIORITY_HEADER, PlainResult, REQUEST_HEADER, StreamAsk, StreamCall,
-    StreamEvent,
+    DEADLINE_HEADER, Engines, PRIORITY_HEADER, PlainResult, REQUEST_HEADER, StreamCall,
+    StreamEvent, StreamOperation,
 };
-use thistlesill_net::http::finish;
+use thistlesill_net::http::build_request;
 use thistlesill_policy::router::{AttemptEvent, Dispatch, Mode};
 use thistlesill_policy::serving::GroupKey;
 use tokio::sync::mpsc;
@@ -31,7 +31,7 @@
 ) {
     let ask = match &dispatch.mode {
         Mode::Fresh => complete(&completion, completion.engine_body(), 0),
-        Mode::Resume { offset } => StreamAsk::Resume { offset: *offset },
+        Mode::Resume { offset } => StreamOperation::Resume { offset: *offset },
         Mode::Continue { offset, text } => {
             complete(&completion, completion.continued_body(text), *offset)
         }
@@ -43,8 +43,8 @@
         epoch: dispatch.key.epoch,
         priority: dispatch.priority,
         adapter: dispatch.adapter.clone(),
-        left: dispatch.left,
-        ask,
+        time_left: dispatch.left,
+        operation: ask,
         repeatable,
     };
     let (request, attempt) = (dispatch.request, dispatch.attempt);
@@ -57,8 +57,8 @@
     engines.stream(call, forward).await;
 }
 
-fn complete(completion: &Completion, body: Vec<u8>, offset: u32) -> StreamAsk {
-    StreamAsk::Complete {
+fn complete(completion: &Completion, body: Vec<u8>, offset: u32) -> StreamOperation {
+    StreamOperation::Complete {
         path: completion.dialect.path(),
         body: Bytes::from(body),
         offset,
@@ -112,7 +112,7 @@
         PlainResult::Unsent => AttemptEvent::Unsent,
         PlainResult::Refused => AttemptEvent::Refused,
         PlainResult::Broken => AttemptEvent::Broken,
-        PlainResult::Whole(answer) => {
+        PlainResult::Complete(answer) => {
             drop(events.send(LoopEvent::answer(request, attempt, answer)));
             return;
         }
@@ -137,7 +137,7 @@
     if let Some(key) = &plain_call.key {
         head = head.header("idempotency-key", key);
     }
-    finish(head, plain_call.body.clone()).ok()
+    build_request(head, plain_call.body.clone()).ok()
 }
 
 /// Returns the media type of a plain service's answer.
--- a/crates/thistlesill-standins/src/bench.rs
+++ b/crates/thistlesill-standins/src/bench.rs
@@ -7,7 +7,7 @@
 use thistlesill_core::config::Role;
 use thistlesill_core::{Millis, RequestId};
 use thistlesill_fakes::{DomainSpec, EngineOptions, FleetFile, HallSpec};
-use thistlesill_net::engine::{Engines, StreamAsk, StreamCall, StreamEvent};
+use thistlesill_net::engine::{Engines, StreamCall, StreamEvent, StreamOperation};
 use thistlesill_policy::serving::{Server, ServerList};
 use thistlesill_replay::slopes::{Point, Slope, line};
 use thistlesill_standins::harness::{Deployment, Kind, Options};
@@ -294,8 +294,8 @@
             epoch: server.key.epoch,
             priority: 5,
             adapter: None,
-            left: Millis::new(30_000),
-            ask: StreamAsk::Complete {
+            time_left: Millis::new(30_000),
+            operation: StreamOperation::Complete {
                 path: "/v1/chat/completions",
                 body: bytes::Bytes::from(body),
                 offset: 0,
--- a/crates/thistlesill-standins/src/harness/caller.rs
+++ b/crates/thistlesill-standins/src/harness/caller.rs
@@ -10,7 +10,7 @@
 use hyper::Request;
 use serde_json::{Value, json};
 use thistlesill_core::error::ErrorBody;
-use thistlesill_net::http::{HttpClient, HttpError, finish, read_body};
+use thistlesill_net::http::{HttpClient, HttpError, build_request, read_body};
 
 /// Time for a whole answer.
 const LIMIT: Duration = Duration::from_secs(60);
@@ -205,7 +205,7 @@
         for (name, value) in &self.headers {
             head = head.header(name, value);
         }
-        let request = finish(head, body).map_err(CallerError::Lost)?;
+        let request = build_request(head, body).map_err(CallerError::Lost)?;
         let sent = self.http.send(request, LIMIT).await;
         let response = sent.map_err(CallerError::Lost)?;
         let status = response.status().as_u16();
--- a/crates/thistlesill-standins/src/harness/deployment.rs
+++ b/crates/thistlesill-standins/src/harness/deployment.rs
@@ -289,7 +289,7 @@
     /// A daemon's metrics, as text.
     pub async fn metrics(&self, role: Role, n: usize) -> String {
         let head = hyper::Request::get(format!("http://{}/metrics", self.admin(role, n)));
-        let Ok(request) = thistlesill_net::http::finish(head, bytes::Bytes::new()) else {
+        let Ok(request) = thistlesill_net::http::build_request(head, bytes::Bytes::new()) else {
             return String::new();
         };
         let answer = self.http.call(request, CALL).await;
@@ -367,7 +367,7 @@
     ) -> Result<T, HttpError> {
         let url = format!("http://{}{path}", self.admin(role, n));
         let head = hyper::Request::get(url).header("authorization", format!("Bearer {TOKEN}"));
-        let request = thistlesill_net::http::finish(head, bytes::Bytes::new())?;
+        let request = thistlesill_net::http::build_request(head, bytes::Bytes::new())?;
         thistlesill_net::http::decode(&self.http.call(request, CALL).await?)
     }
 
