--- a/crates/thistlesill-net/src/admin.rs
+++ b/crates/thistlesill-net/src/admin.rs
@@ -1,5 +1,5 @@
-//! What every daemon serves to operators: liveness, readiness, metrics, its
-//! status and its time line.
+//! The operators' HTTP interface of a daemon: liveness, readiness, metrics, status and event
+//! timeline.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,65 +21,65 @@
 
 use crate::journal::Journal;
 
-/// The least buffer for a header section that the library takes.
-const MIN_HEAD: usize = 8 << 10;
+/// The smallest HTTP/1 read buffer that hyper accepts.
+const MIN_BUFFER_BYTES: usize = 8 << 10;
 
-/// A question of an operator to the daemon's loop, answered as JSON.
+/// An operator's request to the daemon's event loop.
 #[derive(Debug)]
 pub struct AdminRequest {
-    /// What is asked.
+    /// The requested operation.
     pub command: AdminCommand,
-    /// Where the answer goes.
+    /// Receives the answer.
     pub reply: oneshot::Sender<AdminReply>,
 }
 
-/// What an operator can ask a daemon's loop.
+/// An operation that an operator can request from a daemon's event loop.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AdminCommand {
-    /// Whether it is ready for callers.
+    /// Reports whether the daemon is ready for callers.
     Ready,
-    /// Its figures.
+    /// Reports the daemon's counters and state.
     Status,
-    /// The groups as it sees them.
+    /// Lists the groups that the daemon knows.
     Groups,
-    /// The instances as it sees them.
+    /// Lists the instances that the daemon knows.
     Instances,
-    /// To stop taking requests and exit when all have ended.
+    /// Stops accepting requests, and exits when all have ended.
     Drain,
 }
 
-/// The loop's answer.
+/// The event loop's answer to an [`AdminRequest`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AdminReply {
-    /// Yes or done.
+    /// The daemon is ready, or has accepted the command.
     Yes,
-    /// No.
+    /// The daemon is not ready, or does not support the command.
     No,
-    /// A JSON value.
+    /// The requested data.
     Value(serde_json::Value),
 }
 
 impl AdminReply {
-    /// An answer from a value.
+    /// Converts a value to JSON; returns [`AdminReply::No`] if that fails.
     pub fn value<T: Serialize>(value: &T) -> Self {
         serde_json::to_value(value).map_or(Self::No, Self::Value)
     }
 }
 
-/// What the operators' routes need.
+/// The shared state of the operators' routes.
 #[derive(Debug, Clone)]
 pub struct Admin {
-    /// Takes questions to the loop.
-    pub questions: mpsc::Sender<AdminRequest>,
-    /// SHA-256 of the operators' token.
+    /// Sends requests to the event loop.
+    pub requests: mpsc::Sender<AdminRequest>,
+    /// SHA-256 of the operators' token, in hexadecimal.
     pub token_sha256: String,
-    /// The time line.
+    /// The timeline that `/admin/timeline` returns.
     pub journal: Journal,
-    /// The metrics.
+    /// Renders the metrics that `/metrics` returns.
     pub metrics: PrometheusHandle,
 }
 
-/// Installs the recorder of metrics for this process.
+/// Installs this process's Prometheus recorder, and returns the handle that renders its metrics.
 ///
 /// # Panics
 ///
@@ -89,7 +89,7 @@
     builder.install_recorder().expect("called once per process")
 }
 
-/// Installs the logger: `RUST_LOG` sets the level, `info` if absent.
+/// Installs the logger, with the level that `RUST_LOG` sets, or else `info`.
 pub fn install_logger() {
     let env = env_logger::Env::default().default_filter_or("info");
     env_logger::Builder::from_env(env)
@@ -98,7 +98,8 @@
 }
 
 impl Admin {
-    /// The operators' routes.
+    /// Returns the operators' routes; all but `/livez`, `/readyz` and `/metrics` require the
+    /// operators' bearer token.
     pub fn router(self) -> Router {
         let shared = Arc::new(self);
         let get = |path: &str, route: Route| {
@@ -109,43 +110,43 @@
         };
         Router::new()
             .push(get("livez", Route::Live))
-            .push(get("readyz", Route::Ask(AdminCommand::Ready)))
+            .push(get("readyz", Route::Command(AdminCommand::Ready)))
             .push(get("metrics", Route::Metrics))
-            .push(get("admin/status", Route::Ask(AdminCommand::Status)))
-            .push(get("admin/groups", Route::Ask(AdminCommand::Groups)))
-            .push(get("admin/instances", Route::Ask(AdminCommand::Instances)))
+            .push(get("admin/status", Route::Command(AdminCommand::Status)))
+            .push(get("admin/groups", Route::Command(AdminCommand::Groups)))
+            .push(get(
+                "admin/instances",
+                Route::Command(AdminCommand::Instances),
+            ))
             .push(get("admin/timeline", Route::Timeline))
             .push(Router::with_path("admin/drain").post(AdminHandler {
                 admin: shared.clone(),
-                route: Route::Ask(AdminCommand::Drain),
+                route: Route::Command(AdminCommand::Drain),
             }))
     }
 
-    fn permits(&self, req: &Request) -> bool {
+    fn is_authorized(&self, req: &Request) -> bool {
         let token = bearer(req).unwrap_or_default();
         sha256_hex(token.as_bytes()) == self.token_sha256
     }
 
-    async fn ask(&self, ask: AdminCommand) -> Option<AdminReply> {
+    async fn execute(&self, command: AdminCommand) -> Option<AdminReply> {
         let (reply, answer) = oneshot::channel();
-        self.questions
-            .send(AdminRequest {
-                command: ask,
-                reply,
-            })
+        self.requests
+            .send(AdminRequest { command, reply })
             .await
             .ok()?;
         answer.await.ok()
     }
 }
 
-/// The bearer token of a request.
+/// Returns the bearer token of a request, or `None` if the request has none.
 pub fn bearer(req: &Request) -> Option<String> {
     let value = req.headers().get("authorization")?.to_str().ok()?;
     value.strip_prefix("Bearer ").map(|t| t.trim().to_owned())
 }
 
-/// Writes an error's answer.
+/// Writes an error as the response, with its delay as `retry-after` in whole seconds.
 pub fn write_error(res: &mut Response, body: &ErrorBody) {
     let kind = body.error.code;
     let status = StatusCode::from_u16(kind.answer().status);
@@ -162,7 +163,7 @@
     Live,
     Metrics,
     Timeline,
-    Ask(AdminCommand),
+    Command(AdminCommand),
 }
 
 #[derive(Debug, Clone)]
@@ -180,11 +181,11 @@
         res: &mut Response,
         _ctrl: &mut FlowCtrl,
     ) {
-        let open = matches!(
+        let is_public = matches!(
             self.route,
-            Route::Live | Route::Metrics | Route::Ask(AdminCommand::Ready)
+            Route::Live | Route::Metrics | Route::Command(AdminCommand::Ready)
         );
-        if !open && !self.admin.permits(req) {
+        if !is_public && !self.admin.is_authorized(req) {
             write_error(res, &ErrorBody::new(ErrorKind::Unauthorized, None));
             return;
         }
@@ -192,7 +193,7 @@
             Route::Live => res.render(Text::Plain("live\n")),
             Route::Metrics => res.render(Text::Plain(self.admin.metrics.render())),
             Route::Timeline => res.render(Json(self.admin.journal.records())),
-            Route::Ask(ask) => match self.admin.ask(ask.clone()).await {
+            Route::Command(command) => match self.admin.execute(command.clone()).await {
                 Some(AdminReply::Yes) => res.render(Text::Plain("yes\n")),
                 Some(AdminReply::Value(value)) => res.render(Json(value)),
                 Some(AdminReply::No) | None => {
@@ -203,20 +204,20 @@
     }
 }
 
-/// Serves routes at an address, for ever.
+/// Serves routes at an address until the process ends.
 ///
 /// # Panics
 ///
-/// If the address cannot be bound: a daemon without its port is of no use.
+/// If the address cannot be bound: a daemon cannot work without its port.
 pub async fn serve(address: SocketAddr, router: Router) {
     server(address, &Limits::default()).serve(router).await;
 }
 
-/// Connections that may wait to be accepted.
+/// The number of connections that may wait to be accepted.
 const BACKLOG: u32 = 1_024;
 
-/// Listens without delay for small packets: accepted connections take that
-/// over, and the last event of a stream must not wait for an acknowledgement.
+/// Listens with `TCP_NODELAY`, which accepted connections inherit: the last event of a stream
+/// must not wait for an acknowledgement.
 fn listen(address: SocketAddr) -> std::io::Result<TcpAcceptor> {
     let socket = match address {
         SocketAddr::V4(_) => TcpSocket::new_v4()?,
@@ -228,7 +229,8 @@
     TcpAcceptor::try_from(socket.listen(BACKLOG)?)
 }
 
-/// A server at an address, with limits on what comes in.
+/// Creates a server at an address, with limits on connections, header size, and the time to
+/// receive a header section or a body.
 ///
 /// # Panics
 ///
@@ -243,6 +245,6 @@
         .max_connections(limits.connections);
     server
         .http1_mut()
-        .max_buf_size(limits.head_bytes.max(MIN_HEAD));
+        .max_buf_size(limits.head_bytes.max(MIN_BUFFER_BYTES));
     server
 }
--- a/crates/thistlesill-net/src/base.rs
+++ b/crates/thistlesill-net/src/base.rs
@@ -1,5 +1,5 @@
-//! What all daemons start with: the link to the peers, the settings' feed,
-//! the operators' interface and the time line.
+//! The components that all daemons start with: the peer link, the settings feed, the operators'
+//! interface and the event timeline.
 
 use std::sync::Arc;
 
@@ -14,60 +14,60 @@
 use crate::journal::Journal;
 use crate::peer::{self, PeerError, PeerLink, PeerMessage};
 use crate::platform::Platform;
-use crate::sync::{CurrentSettings, HeadWatch, from_peer, from_platform};
+use crate::sync::{CurrentSettings, HeadSchedule, fetch_from_peer, fetch_from_platform};
 
-/// Messages of peers that wait to be read.
-const PEER_QUEUE: usize = 1_024;
-/// Questions of operators that wait to be answered.
-const QUESTION_QUEUE: usize = 64;
+/// Accepted peer messages that may wait for the event loop.
+const PEER_QUEUE_LENGTH: usize = 1_024;
+/// Operators' requests that may wait for the event loop.
+const ADMIN_QUEUE_LENGTH: usize = 64;
 
-/// The running parts that a daemon's loop is built on.
+/// The running components that a daemon's event loop uses.
 #[derive(Debug)]
 pub struct Base {
-    /// The time line.
+    /// The event timeline.
     pub journal: Journal,
-    /// The link to the peers.
+    /// Sends messages to the peers.
     pub link: PeerLink,
-    /// What peers say.
+    /// Receives the peers' messages.
     pub datagrams: mpsc::Receiver<PeerMessage>,
-    /// What operators ask.
+    /// Receives the operators' requests.
     pub admin_requests: mpsc::Receiver<AdminRequest>,
-    /// Where new settings come from.
+    /// Fetches new settings.
     pub feed: SettingsFeed,
-    /// The platform.
+    /// The client of the platform.
     pub platform: Platform,
 }
 
-/// Starts what all daemons have.
+/// Starts the components that all daemons share, and their tasks.
 ///
 /// # Errors
 ///
-/// [`PeerError::Io`] if the address for peers is taken.
+/// [`PeerError::Io`] if the address for peers cannot be bound.
 pub async fn start(config: &DaemonConfig, secrets: &Secrets) -> Result<Base, PeerError> {
-    let (asked, questions) = mpsc::channel(QUESTION_QUEUE);
-    let (heard, datagrams) = mpsc::channel(PEER_QUEUE);
+    let (admin_sender, admin_requests) = mpsc::channel(ADMIN_QUEUE_LENGTH);
+    let (message_sender, datagrams) = mpsc::channel(PEER_QUEUE_LENGTH);
     let journal = Journal::new(config.name.clone(), config.limits.events);
-    let shelf = CurrentSettings::default();
+    let current = CurrentSettings::default();
     let key = secrets.key.clone();
     let link = PeerLink::bind(config.name.clone(), config.peer, key, journal.clone()).await?;
-    tokio::spawn(link.clone().listen(heard));
-    spawn_answers(config, secrets, shelf.clone());
-    spawn_admin(config, secrets, asked, journal.clone());
+    tokio::spawn(link.clone().listen(message_sender));
+    spawn_peer_server(config, secrets, current.clone());
+    spawn_admin(config, secrets, admin_sender, journal.clone());
     journal.record(TimelineEvent::Started);
     let platform = Platform::new(config.platform);
     Ok(Base {
-        feed: SettingsFeed::new(config, shelf, link.clone(), platform.clone()),
+        feed: SettingsFeed::new(config, current, link.clone(), platform.clone()),
         journal,
         link,
         datagrams,
-        admin_requests: questions,
+        admin_requests,
         platform,
     })
 }
 
-fn spawn_answers(config: &DaemonConfig, secrets: &Secrets, shelf: CurrentSettings) {
-    let serve = peer::answer(config.peer, secrets.key.clone(), move |ask| {
-        shelf.reply(&ask)
+fn spawn_peer_server(config: &DaemonConfig, secrets: &Secrets, current: CurrentSettings) {
+    let serve = peer::serve(config.peer, secrets.key.clone(), move |request| {
+        current.reply(&request)
     });
     tokio::spawn(async move {
         if let Err(error) = serve.await {
@@ -79,11 +79,11 @@
 fn spawn_admin(
     config: &DaemonConfig,
     secrets: &Secrets,
-    questions: mpsc::Sender<AdminRequest>,
+    requests: mpsc::Sender<AdminRequest>,
     journal: Journal,
 ) {
     let admin = Admin {
-        questions,
+        requests,
         token_sha256: secrets.token_sha256.clone(),
         journal,
         metrics: admin::install_metrics(),
@@ -91,13 +91,12 @@
     tokio::spawn(admin::serve(config.admin, admin.router()));
 }
 
-/// Where a daemon's new settings come from: the table, or a peer that says
-/// that it has newer ones.
+/// Fetches new settings from the platform's table, or from a peer that announces a newer revision.
 #[derive(Debug)]
 pub struct SettingsFeed {
-    /// The settings in force, for the daemon's other tasks.
+    /// The settings in force, shared with the daemon's other tasks.
     pub current: CurrentSettings,
-    heads: HeadWatch,
+    schedule: HeadSchedule,
     link: PeerLink,
     platform: Platform,
     config: DaemonConfig,
@@ -106,57 +105,57 @@
 impl SettingsFeed {
     fn new(
         config: &DaemonConfig,
-        shelf: CurrentSettings,
+        current: CurrentSettings,
         link: PeerLink,
         platform: Platform,
     ) -> Self {
-        let heads = HeadWatch::new(
+        let schedule = HeadSchedule::new(
             config.name.clone(),
             config.hall.clone(),
             config.periods.head_ms,
         );
         Self {
-            current: shelf,
-            heads,
+            current,
+            schedule,
             link,
             platform,
             config: config.clone(),
         }
     }
 
-    /// Reads the table if it is this daemon's turn, and hands newer settings
-    /// to `take`.
-    pub fn tick(&mut self, now: Millis, take: impl FnOnce(Arc<Tree>) + Send + 'static) {
-        if !self.heads.is_due(now) {
+    /// Reads the table if a read is due, and passes newer settings to `on_update`.
+    pub fn tick(&mut self, now: Millis, on_update: impl FnOnce(Arc<Tree>) + Send + 'static) {
+        if !self.schedule.is_due(now) {
             return;
         }
-        let (platform, shelf) = (self.platform.clone(), self.current.clone());
+        let (platform, current) = (self.platform.clone(), self.current.clone());
         tokio::spawn(async move {
-            if let Some(tree) = from_platform(&platform, &shelf).await {
-                take(tree);
+            if let Some(tree) = fetch_from_platform(&platform, &current).await {
+                on_update(tree);
             }
         });
     }
 
-    /// Notes which revision a peer has, and asks it for newer settings.
+    /// Records that a peer announced its revision, and fetches the settings from the peer if they
+    /// are newer; ignores an unknown peer.
     pub fn receive_head(
         &mut self,
         from: &NodeId,
         revision: u64,
         now: Millis,
-        take: impl FnOnce(Arc<Tree>) + Send + 'static,
+        on_update: impl FnOnce(Arc<Tree>) + Send + 'static,
     ) {
         let Some(peer) = self.config.peers.iter().find(|p| p.name == *from) else {
             return;
         };
-        self.heads.heard(peer, now);
-        if revision <= self.current.revision() || !self.heads.may_fetch(now) {
+        self.schedule.record_peer(peer, now);
+        if revision <= self.current.revision() || !self.schedule.may_fetch(now) {
             return;
         }
-        let (link, shelf, address) = (self.link.clone(), self.current.clone(), peer.peer);
+        let (link, current, address) = (self.link.clone(), self.current.clone(), peer.peer);
         tokio::spawn(async move {
-            if let Some(tree) = from_peer(&link, address, &shelf).await {
-                take(tree);
+            if let Some(tree) = fetch_from_peer(&link, address, &current).await {
+                on_update(tree);
             }
         });
     }
--- a/crates/thistlesill-net/src/clock.rs
+++ b/crates/thistlesill-net/src/clock.rs
@@ -1,5 +1,4 @@
-//! The clocks of a process: monotonic time for decisions, wall time for the
-//! time line.
+//! The clocks of a process: monotonic time for decisions, wall time for the event timeline.
 
 use std::cell::Cell;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -8,133 +7,137 @@
 use thistlesill_core::Millis;
 use tokio::sync::Notify;
 
-/// The shortest suspension of note: the two clocks are read one after the other, and a busy
-/// machine may take a process off its core in between.
-const LEAST: Millis = Millis::new(100);
+/// The shortest suspension that counts: the two clocks are read one after the other, and a busy
+/// machine may preempt the process in between.
+const MIN_SUSPENSION: Millis = Millis::new(100);
 
-/// Reads a clock that only goes on.
+/// A function that reads a clock that never goes back.
 pub type ClockSource = fn() -> Duration;
 
-/// A process's clocks.
+/// Monotonic time that includes the time in which the machine was suspended.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
-    /// Goes on while the machine is suspended.
+    /// Advances while the machine is suspended.
     boot: ClockSource,
-    /// Stands still then; timers go by it.
-    steady: ClockSource,
-    start: Moment,
+    /// Stops while the machine is suspended; the runtime's timers use this clock.
+    monotonic: ClockSource,
+    start: ClockReadings,
 }
 
 /// Both clocks at one moment.
 #[derive(Debug, Clone, Copy)]
-struct Moment {
+struct ClockReadings {
     boot: Duration,
-    steady: Duration,
+    monotonic: Duration,
 }
 
 impl Clock {
-    /// Added to monotonic time, so that "long ago" can be told from the
-    /// start of the process.
+    /// The offset added to monotonic time, so that times long before the start of the process can
+    /// be expressed.
     const EPOCH: u64 = 1_000_000_000;
 
-    /// Starts the clock.
+    /// Starts a clock that reads the system's boot-time and monotonic clocks.
     #[must_use]
     pub fn new() -> Self {
-        Self::with_sources(read_boot, read_steady)
+        Self::with_sources(read_boot, read_monotonic)
     }
 
-    /// Starts a clock by what these functions read: one that goes on while the machine is
-    /// suspended, and one that does not.
+    /// Starts a clock that reads two given sources: `boot` advances while the machine is
+    /// suspended, `monotonic` does not.
     #[must_use]
-    pub fn with_sources(boot: ClockSource, steady: ClockSource) -> Self {
+    pub fn with_sources(boot: ClockSource, monotonic: ClockSource) -> Self {
         Self {
             boot,
-            steady,
-            start: Moment {
+            monotonic,
+            start: ClockReadings {
                 boot: boot(),
-                steady: steady(),
+                monotonic: monotonic(),
             },
         }
     }
 
-    /// Monotonic time, which goes on while the machine is suspended: by the steady clock a
-    /// daemon that was suspended for 6 s would take a 5 s old proof of keys for a young one.
+    /// Returns monotonic time, which advances while the machine is suspended.
+    ///
+    /// By a clock that stops meanwhile, a daemon that was suspended for 6 s would accept a 5 s old
+    /// proof of keys as recent.
     pub fn now(&self) -> Millis {
         let elapsed = (self.boot)().saturating_sub(self.start.boot);
         Millis::new(Self::EPOCH + elapsed.as_millis() as u64)
     }
 
-    /// For how long the machine has been suspended since the start.
+    /// Returns how long the machine has been suspended in total since the clock was started.
     pub fn suspended(&self) -> Millis {
         let boot = (self.boot)().saturating_sub(self.start.boot);
-        let steady = (self.steady)().saturating_sub(self.start.steady);
-        Millis::new(boot.saturating_sub(steady).as_millis() as u64)
+        let monotonic = (self.monotonic)().saturating_sub(self.start.monotonic);
+        Millis::new(boot.saturating_sub(monotonic).as_millis() as u64)
     }
 
-    /// Wall time in Unix milliseconds.
+    /// Returns wall time in Unix milliseconds.
     pub fn wall() -> u64 {
         let since = SystemTime::now().duration_since(UNIX_EPOCH);
         since.map_or(0, |d| d.as_millis() as u64)
     }
 }
 
-/// Waits for moments of a clock.
+/// Waits for times of a [`Clock`], also when the machine is suspended meanwhile.
 ///
-/// The timers of the runtime go by the steady clock, and after a machine was suspended they
-/// end as much too late; who looks at the clock now and then has them look again.
+/// The runtime's timers use the clock that stops while the machine is suspended, so they end late
+/// by the length of the suspension. Call [`Alarm::check_suspension`] periodically: after a
+/// suspension, all waits compare their time with the clock again.
 #[derive(Debug)]
 pub struct Alarm {
     clock: Clock,
-    /// For how long the machine had been suspended at the last look.
+    /// The total suspended time at the last check.
     suspended: Cell<Millis>,
-    woke: Notify,
+    resumed: Notify,
 }
 
 impl Alarm {
-    /// Waits by a clock.
+    /// Creates an alarm for times of `clock`.
     #[must_use]
     pub fn new(clock: Clock) -> Self {
         Self {
             clock,
             suspended: Cell::new(clock.suspended()),
-            woke: Notify::new(),
+            resumed: Notify::new(),
         }
     }
 
-    /// Sleeps until a moment.
+    /// Sleeps until `at`.
     pub async fn sleep_until(&self, at: Millis) {
         loop {
-            let woke = self.woke.notified();
+            let resumed = self.resumed.notified();
             let left = at - self.clock.now();
             if left == Millis::ZERO {
                 return;
             }
             tokio::select! {
                 () = tokio::time::sleep(left.duration()) => {}
-                () = woke => {}
+                () = resumed => {}
             }
         }
     }
 
-    /// Awaits a step until a moment; `None` if it takes longer.
-    pub async fn timeout_at<T>(&self, at: Millis, step: impl Future<Output = T>) -> Option<T> {
+    /// Awaits a future until `at`; returns `None` if the future takes longer. A future that is
+    /// ready at the first poll counts as in time.
+    pub async fn timeout_at<T>(&self, at: Millis, future: impl Future<Output = T>) -> Option<T> {
         tokio::select! {
             biased;
-            done = step => Some(done),
+            output = future => Some(output),
             () = self.sleep_until(at) => None,
         }
     }
 
-    /// Looks whether the machine was suspended since the last look, and for how long; all
-    /// waits then look at the clock.
+    /// Returns how long the machine was suspended since the last check, or `None` for less than
+    /// 100 ms. After a suspension, all waits compare their time with the clock again.
     pub fn check_suspension(&self) -> Option<Millis> {
         let suspended = self.clock.suspended();
         let since = suspended - self.suspended.get();
-        if since < LEAST {
+        if since < MIN_SUSPENSION {
             return None;
         }
         self.suspended.set(suspended);
-        self.woke.notify_waiters();
+        self.resumed.notify_waiters();
         Some(since)
     }
 }
@@ -149,7 +152,7 @@
     read(ClockId::CLOCK_BOOTTIME)
 }
 
-fn read_steady() -> Duration {
+fn read_monotonic() -> Duration {
     read(ClockId::CLOCK_MONOTONIC)
 }
 
--- a/crates/thistlesill-net/src/engine.rs
+++ b/crates/thistlesill-net/src/engine.rs
@@ -1,4 +1,4 @@
-//! The client of targets: reports, orders, streams and plain calls.
+//! The client of targets: reports, orders, streaming requests and plain calls.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -30,112 +30,107 @@
 pub const ADAPTER_HEADER: &str = "x-adapter";
 /// Header with the milliseconds left until the deadline.
 pub const DEADLINE_HEADER: &str = "x-deadline-ms";
-/// Header with the first piece wanted of a stream that goes on.
+/// Header with the index of the first piece wanted of a stream.
 pub const OFFSET_HEADER: &str = "x-offset";
-/// Header by which a target says whether a refused request ran.
+/// Response header that is `no` if the target did not run the request.
 pub const RAN_HEADER: &str = "x-ran";
-/// Header with the proof of an order.
+/// Header with the authentication tag of an order's body, in hexadecimal.
 pub const PROOF_HEADER: &str = "x-proof";
 
-/// Time for a report.
-const REPORT_LIMIT: Duration = Duration::from_millis(900);
-/// Time for an order.
-const ORDER_LIMIT: Duration = Duration::from_millis(1_500);
-/// Time for cancelling.
-const CANCEL_LIMIT: Duration = Duration::from_millis(1_000);
+const REPORT_TIMEOUT: Duration = Duration::from_millis(900);
+const ORDER_TIMEOUT: Duration = Duration::from_millis(1_500);
+const CANCEL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// A streaming request to a group's leader.
 #[derive(Debug, Clone)]
 pub struct StreamCall {
-    /// Where the leader listens.
+    /// The address at which the leader listens.
     pub address: SocketAddr,
-    /// The request.
+    /// The id of the request.
     pub request: RequestId,
-    /// The group.
+    /// The group that the request is for.
     pub group: GroupId,
-    /// Its epoch.
+    /// The epoch of the group that the request is for.
     pub epoch: u64,
-    /// The priority.
+    /// The request's priority; lower goes first.
     pub priority: u8,
-    /// The adapter.
+    /// The adapter to use, if any.
     pub adapter: Option<Adapter>,
-    /// Time until the deadline.
+    /// The time until the request's deadline.
     pub time_left: Millis,
-    /// What is asked for.
+    /// Whether to start a completion or resume a stream.
     pub operation: StreamOperation,
-    /// Whether the request may be repeated; if not, it gets a connection of
-    /// its own.
+    /// Whether the request may be repeated; if not, it is sent on a new connection.
     pub repeatable: bool,
 }
 
-/// What a streaming request asks for.
+/// The operation that a streaming request asks for.
 #[derive(Debug, Clone)]
 pub enum StreamOperation {
-    /// A completion; `offset` is the first piece wanted when the body holds
-    /// what was delivered before.
+    /// Starts a completion.
     Complete {
         /// The path, one of the `OpenAI` protocol's.
         path: &'static str,
-        /// The body.
+        /// The request body, in JSON; includes the text that was delivered before, if any.
         body: Bytes,
-        /// Pieces delivered before.
+        /// The number of pieces delivered before, which is the index of the first piece wanted.
         offset: u32,
     },
-    /// The rest of a stream that the group runs.
+    /// Resumes a stream that the group already runs.
     Resume {
-        /// The first piece wanted.
+        /// The index of the first piece wanted.
         offset: u32,
     },
 }
 
-/// What a stream brings.
+/// An event of a streaming request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StreamEvent {
     /// Nothing was sent.
     Unsent,
     /// The target did not run the request.
     Refused,
-    /// The target says that the request is malformed.
+    /// The target rejected the request as malformed (status 400 or 422).
     Denied,
-    /// The target does not know the stream to resume.
+    /// The target does not know the stream to resume (status 410).
     Forgotten,
-    /// A piece.
+    /// A piece of the answer.
     Piece {
-        /// Its id.
+        /// The event's id.
         id: EventId,
-        /// Its text.
+        /// The generated text.
         text: Arc<str>,
     },
-    /// The answer is whole.
+    /// The answer is complete.
     End {
         /// The last event's id; its offset is the number of pieces.
         id: EventId,
-        /// Why the model stopped.
+        /// The model's finish reason.
         reason: Arc<str>,
     },
-    /// The connection was lost.
+    /// The connection was lost, or the target failed; the request may have run.
     Broken,
-    /// The answer could not be understood.
+    /// The answer could not be decoded.
     Garbage,
 }
 
 impl StreamEvent {
-    /// Whether nothing follows.
+    /// Returns whether this event is the last of its request.
     pub const fn is_last(&self) -> bool {
         !matches!(self, Self::Piece { .. })
     }
 }
 
-/// What became of a plain call.
+/// The result of a plain call.
 #[derive(Debug)]
 pub enum PlainResult {
     /// Nothing was sent.
     Unsent,
     /// The target did not run the call.
     Refused,
-    /// The whole answer.
+    /// The complete answer, of any status.
     Complete(Response<Bytes>),
-    /// The connection was lost.
+    /// The connection was lost; the call may have run.
     Broken,
 }
 
@@ -165,7 +160,7 @@
 }
 
 impl Engines {
-    /// A client that proves its orders with the fleet's key.
+    /// Creates a client that authenticates its orders with the fleet's key.
     pub fn new(key: SharedKey) -> Self {
         Self {
             pooled: HttpClient::pooled(),
@@ -174,7 +169,7 @@
         }
     }
 
-    /// Asks a target for its report.
+    /// Requests a target's report.
     ///
     /// # Errors
     ///
@@ -182,15 +177,15 @@
     pub async fn report(&self, address: SocketAddr) -> Result<Report, HttpError> {
         let call = self
             .pooled
-            .get_json(address, "/control/report", REPORT_LIMIT);
+            .get_json(address, "/control/report", REPORT_TIMEOUT);
         call.await
     }
 
-    /// Gives an order.
+    /// Sends an order, authenticated by a tag of its body.
     ///
     /// # Errors
     ///
-    /// Any [`HttpError`]; the order may have been taken.
+    /// Any [`HttpError`]; the target may have taken the order nevertheless.
     pub async fn order(&self, address: SocketAddr, order: &Order) -> Result<OrderReply, HttpError> {
         let body = encode(order)?;
         let proof = self.key.tag(&body);
@@ -198,51 +193,52 @@
             .header("content-type", "application/json")
             .header(PROOF_HEADER, hex::encode(proof));
         let request = build_request(head, body)?;
-        decode(&self.pooled.call(request, ORDER_LIMIT).await?)
+        decode(&self.pooled.call(request, ORDER_TIMEOUT).await?)
     }
 
-    /// Tells a leader to cancel a request.
+    /// Asks a leader to cancel a request; errors are ignored.
     pub async fn cancel(&self, address: SocketAddr, request: RequestId) {
         let url = format!("http://{address}/v1/streams/{request}/cancel");
         let Ok(call) = build_request(Request::post(url), Bytes::new()) else {
             return;
         };
-        // A cancel that is lost costs the engine some tokens, nothing else.
-        drop(self.pooled.call(call, CANCEL_LIMIT).await);
+        // A lost cancellation costs the engine some tokens, nothing else.
+        drop(self.pooled.call(call, CANCEL_TIMEOUT).await);
     }
 
-    /// Sends a streaming request and passes what it brings to `take`, until
-    /// the last event or until `take` returns false.
-    pub async fn stream(&self, call: StreamCall, mut take: impl FnMut(StreamEvent) -> bool) {
+    /// Sends a streaming request and passes its events to `on_event`, until the last event or
+    /// until `on_event` returns false.
+    pub async fn stream(&self, call: StreamCall, mut on_event: impl FnMut(StreamEvent) -> bool) {
         let client = if call.repeatable {
             &self.pooled
         } else {
             &self.fresh
         };
         let Ok(request) = stream_request(&call) else {
-            take(StreamEvent::Unsent);
+            on_event(StreamEvent::Unsent);
             return;
         };
         let limit = call.time_left.duration() + Duration::from_secs(1);
         let response = match client.send(request, limit).await {
             Err(HttpError::Unsent { .. }) => {
-                take(StreamEvent::Unsent);
+                on_event(StreamEvent::Unsent);
                 return;
             }
             Err(_) => {
-                take(StreamEvent::Broken);
+                on_event(StreamEvent::Broken);
                 return;
             }
             Ok(response) => response,
         };
         if response.status() != StatusCode::OK {
-            take(classify(&response));
+            on_event(classify(&response));
             return;
         }
-        read_events(response, take).await;
+        read_events(response, on_event).await;
     }
 
-    /// Calls a plain service.
+    /// Calls a service without streaming. A call that may not be repeated is sent on a new
+    /// connection.
     pub async fn plain(
         &self,
         request: Request<http_body_util::Full<Bytes>>,
@@ -257,7 +253,7 @@
         match client.call(request, limit).await {
             Err(HttpError::Unsent { .. }) => PlainResult::Unsent,
             Err(_) => PlainResult::Broken,
-            Ok(answer) if says_not_run(&answer) => PlainResult::Refused,
+            Ok(answer) if did_not_run(&answer) => PlainResult::Refused,
             Ok(answer) => PlainResult::Complete(answer),
         }
     }
@@ -291,41 +287,41 @@
     build_request(head, body)
 }
 
-fn says_not_run<T>(answer: &Response<T>) -> bool {
+fn did_not_run<T>(answer: &Response<T>) -> bool {
     let ran = answer.headers().get(RAN_HEADER);
     ran.is_some_and(|v| v.as_bytes() == b"no")
 }
 
-/// What an answer other than 200 says of a streaming request.
+/// Maps a response with a status other than 200 to the event that ends the stream.
 fn classify<T>(answer: &Response<T>) -> StreamEvent {
     match answer.status() {
         StatusCode::GONE => StreamEvent::Forgotten,
-        _ if says_not_run(answer) => StreamEvent::Refused,
+        _ if did_not_run(answer) => StreamEvent::Refused,
         StatusCode::BAD_REQUEST | StatusCode::UNPROCESSABLE_ENTITY => StreamEvent::Denied,
         _ => StreamEvent::Broken,
     }
 }
 
-async fn read_events(response: Response<Incoming>, mut take: impl FnMut(StreamEvent) -> bool) {
+async fn read_events(response: Response<Incoming>, mut on_event: impl FnMut(StreamEvent) -> bool) {
     let body = response.into_body().into_data_stream();
     let mut events = body.eventsource();
     while let Some(event) = events.next().await {
         let Ok(event) = event else {
-            take(StreamEvent::Broken);
+            on_event(StreamEvent::Broken);
             return;
         };
         let Some(read) = read_event(&event) else {
             continue;
         };
         let last = read.is_last();
-        if !take(read) || last {
+        if !on_event(read) || last {
             return;
         }
     }
-    take(StreamEvent::Broken);
+    on_event(StreamEvent::Broken);
 }
 
-/// Reads one event; `None` for the closing `[DONE]`, which follows the last.
+/// Decodes a server-sent event; returns `None` for `[DONE]`, which follows the last one.
 fn read_event(event: &eventsource_stream::Event) -> Option<StreamEvent> {
     if event.data == "[DONE]" {
         return None;
--- a/crates/thistlesill-net/src/files.rs
+++ b/crates/thistlesill-net/src/files.rs
@@ -1,4 +1,4 @@
-//! The files that a daemon is started with.
+//! The settings and secret files that a daemon is started with.
 
 use std::path::{Path, PathBuf};
 
@@ -8,13 +8,13 @@
 use thistlesill_core::jsonc::{self, JsoncError};
 use thistlesill_core::seal::SharedKey;
 
-/// The least bytes of a shared key.
-const MIN_KEY: usize = 16;
+/// The smallest length of a secret.
+const MIN_SECRET_BYTES: usize = 16;
 
-/// Why a file could not be used.
+/// The reason why a file could not be used.
 #[derive(Debug, Snafu)]
 pub enum FileError {
-    /// It could not be read.
+    /// The file could not be read.
     #[snafu(display("{}: {source}", path.display()))]
     Unreadable {
         /// The file.
@@ -22,20 +22,20 @@
         /// The cause.
         source: std::io::Error,
     },
-    /// It is malformed.
+    /// The file does not parse.
     #[snafu(display("{}:{source}", path.display()))]
     Malformed {
         /// The file.
         path: PathBuf,
-        /// The cause, with its place.
+        /// The cause, with its line and column.
         source: JsoncError,
     },
-    /// A value in it does not fit.
+    /// A value in the file is not allowed.
     #[snafu(display("{}: {text}", path.display()))]
-    Unfit {
+    Invalid {
         /// The file.
         path: PathBuf,
-        /// What is wrong and what would be right.
+        /// The mistake, and what would be allowed.
         text: String,
     },
 }
@@ -59,23 +59,23 @@
     jsonc::from_str(&text).context(MalformedSnafu { path })
 }
 
-/// Reads and checks a daemon's settings.
+/// Reads a daemon's settings and checks them for its role.
 ///
 /// # Errors
 ///
-/// A [`FileError`].
+/// A [`FileError`] if the file cannot be read, does not parse or fails the check.
 pub fn read_config(path: &Path, role: Role) -> Result<DaemonConfig, FileError> {
     let config: DaemonConfig = read_jsonc(path)?;
     match check(&config, role) {
         Ok(()) => Ok(config),
-        Err(text) => Err(FileError::Unfit {
+        Err(text) => Err(FileError::Invalid {
             path: path.to_owned(),
             text,
         }),
     }
 }
 
-/// Reads the files with a daemon's secrets.
+/// Reads a daemon's shared key and operators' token from the files that its settings name.
 ///
 /// # Errors
 ///
@@ -89,7 +89,7 @@
     })
 }
 
-/// Reads a secret's file without the white space around it.
+/// Reads a secret from a file, without the white space around the secret.
 ///
 /// # Errors
 ///
@@ -97,9 +97,9 @@
 pub fn read_secret(path: &Path) -> Result<String, FileError> {
     let text = std::fs::read_to_string(path).context(UnreadableSnafu { path })?;
     let secret = text.trim();
-    if secret.len() < MIN_KEY {
-        let text = format!("a secret has at least {MIN_KEY} bytes");
-        return Err(FileError::Unfit {
+    if secret.len() < MIN_SECRET_BYTES {
+        let text = format!("a secret must have at least {MIN_SECRET_BYTES} bytes");
+        return Err(FileError::Invalid {
             path: path.to_owned(),
             text,
         });
--- a/crates/thistlesill-net/src/http.rs
+++ b/crates/thistlesill-net/src/http.rs
@@ -1,4 +1,4 @@
-//! A small HTTP client over `hyper`, with limits on time and size.
+//! An HTTP client over `hyper`, with limits on time and size.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,41 +14,39 @@
 use serde::de::DeserializeOwned;
 use snafu::Snafu;
 
-/// Bytes of an answer that is read whole, at most.
-const MAX_ANSWER: usize = 64 << 20;
-/// Time for connecting.
-const CONNECT: Duration = Duration::from_millis(1_000);
+/// The largest response body that is read into memory.
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// How long an unused connection is kept. One that falls silent meanwhile costs
-/// the next call its whole time-out; calls that come more often than this show
-/// that theirs works.
-const KEEP: Duration = Duration::from_secs(1);
+/// How long an unused connection is kept. A connection that stops working while unused costs the
+/// next call its whole timeout; calls that come more often than this show that theirs works.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Why a call brought no usable answer.
+/// The reason why a call has no usable answer.
 #[derive(Debug, Snafu)]
 pub enum HttpError {
-    /// No connection was made: nothing was sent.
+    /// Nothing was sent, because no connection was made or the request is malformed.
     #[snafu(display("no connection: {text}"))]
     Unsent {
         /// The cause.
         text: String,
     },
-    /// The connection was lost after sending began, or no answer came in
-    /// time: the call may have taken effect.
+    /// The connection was lost after sending began, or no complete answer came in time: the call
+    /// may have taken effect.
     #[snafu(display("no answer: {text}"))]
     Lost {
         /// The cause.
         text: String,
     },
-    /// The answer has another status than expected.
+    /// The answer's status is not 200.
     #[snafu(display("status {status}: {body}"))]
     Status {
-        /// The status.
+        /// The status code.
         status: u16,
-        /// The body's text.
+        /// The body as text.
         body: String,
     },
-    /// The answer could not be decoded.
+    /// The answer could not be decoded, or the request body not be encoded.
     #[snafu(display("malformed answer: {text}"))]
     Malformed {
         /// The cause.
@@ -56,37 +54,37 @@
     },
 }
 
-/// An HTTP client.
+/// An HTTP/1.1 client that never retries a request.
 #[derive(Debug, Clone)]
 pub struct HttpClient {
     inner: Client<HttpConnector, Full<Bytes>>,
 }
 
 impl HttpClient {
-    /// A client that keeps connections for reuse.
+    /// Creates a client that keeps connections for reuse.
     pub fn pooled() -> Self {
         Self::build(16)
     }
 
-    /// A client that opens a connection for every call, so that a call never
-    /// meets a connection that the other side is closing.
+    /// Creates a client that opens a connection for every call, so that a call is never sent on a
+    /// connection that the server is closing.
     pub fn fresh() -> Self {
         Self::build(0)
     }
 
-    fn build(idle: usize) -> Self {
+    fn build(max_idle: usize) -> Self {
         let mut connector = HttpConnector::new();
-        connector.set_connect_timeout(Some(CONNECT));
+        connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
         connector.set_nodelay(true);
         let inner = Client::builder(TokioExecutor::new())
-            .pool_max_idle_per_host(idle)
-            .pool_idle_timeout(KEEP)
+            .pool_max_idle_per_host(max_idle)
+            .pool_idle_timeout(IDLE_TIMEOUT)
             .retry_canceled_requests(false)
             .build(connector);
         Self { inner }
     }
 
-    /// Sends a request and returns the answer's head with its open body.
+    /// Sends a request and returns the response, whose body is not read yet.
     ///
     /// # Errors
     ///
@@ -100,7 +98,7 @@
         let answer = tokio::time::timeout(limit, self.inner.request(request)).await;
         match answer {
             Err(_) => Err(HttpError::Lost {
-                text: "time is up".to_owned(),
+                text: "timed out".to_owned(),
             }),
             Ok(Err(e)) if e.is_connect() => Err(HttpError::Unsent {
                 text: e.to_string(),
@@ -112,12 +110,11 @@
         }
     }
 
-    /// Sends a request and reads the whole answer.
+    /// Sends a request and reads the complete response.
     ///
     /// # Errors
     ///
-    /// As [`HttpClient::send`], and [`HttpError::Lost`] if the body breaks
-    /// off or is too large.
+    /// As [`HttpClient::send`], and [`HttpError::Lost`] if the body breaks off or exceeds 64 MiB.
     pub async fn call(
         &self,
         request: Request<Full<Bytes>>,
@@ -131,12 +128,12 @@
         match tokio::time::timeout(limit, read).await {
             Ok(result) => result,
             Err(_) => Err(HttpError::Lost {
-                text: "time is up".to_owned(),
+                text: "timed out".to_owned(),
             }),
         }
     }
 
-    /// Gets a JSON value.
+    /// Requests a path with `GET` and decodes the JSON response.
     ///
     /// # Errors
     ///
@@ -155,7 +152,7 @@
         )
     }
 
-    /// Posts a JSON value and reads one back.
+    /// Sends a JSON value with `POST` and decodes the JSON response.
     ///
     /// # Errors
     ///
@@ -181,7 +178,7 @@
 ///
 /// # Errors
 ///
-/// [`HttpError::Malformed`] if it does not encode.
+/// [`HttpError::Malformed`] if the value does not encode.
 pub fn encode<B: Serialize>(body: &B) -> Result<Bytes, HttpError> {
     let bytes = serde_json::to_vec(body).map_err(|e| HttpError::Malformed {
         text: e.to_string(),
@@ -189,7 +186,7 @@
     Ok(Bytes::from(bytes))
 }
 
-/// Closes a request's head with a body.
+/// Builds a request from its head and body.
 ///
 /// # Errors
 ///
@@ -203,11 +200,11 @@
     })
 }
 
-/// Decodes an answer of status 200.
+/// Decodes the JSON body of a response with status 200.
 ///
 /// # Errors
 ///
-/// [`HttpError::Status`] or [`HttpError::Malformed`].
+/// [`HttpError::Status`] for another status, [`HttpError::Malformed`] if the body does not decode.
 pub fn decode<T: DeserializeOwned>(answer: &Response<Bytes>) -> Result<T, HttpError> {
     if answer.status() != StatusCode::OK {
         return Err(HttpError::Status {
@@ -220,13 +217,13 @@
     })
 }
 
-/// Reads a whole body.
+/// Reads a complete body.
 ///
 /// # Errors
 ///
-/// [`HttpError::Lost`] if it breaks off or is too large.
+/// [`HttpError::Lost`] if the body breaks off or exceeds 64 MiB.
 pub async fn read_body(body: Incoming) -> Result<Bytes, HttpError> {
-    let read = Limited::new(body, MAX_ANSWER).collect().await;
+    let read = Limited::new(body, MAX_RESPONSE_BYTES).collect().await;
     read.map(http_body_util::Collected::to_bytes)
         .map_err(|e| HttpError::Lost {
             text: e.to_string(),
--- a/crates/thistlesill-net/src/journal.rs
+++ b/crates/thistlesill-net/src/journal.rs
@@ -1,4 +1,4 @@
-//! The time line of a process: a clock and a bounded ring of events.
+//! The event timeline of a process: a hybrid clock and a bounded ring of events.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -8,7 +8,7 @@
 
 use crate::clock::Clock;
 
-/// A process's time line, shared between its tasks.
+/// A process's event timeline, shared between its tasks.
 #[derive(Debug, Clone)]
 pub struct Journal {
     node: NodeId,
@@ -22,7 +22,7 @@
 }
 
 impl Journal {
-    /// An empty time line that keeps `capacity` events.
+    /// Creates an empty timeline that keeps the newest `capacity` events.
     pub fn new(node: NodeId, capacity: usize) -> Self {
         let inner = Inner {
             clock: HybridClock::default(),
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Notes an event.
+    /// Records an event with the current time.
     pub fn record(&self, what: TimelineEvent) {
         self.with(|inner| {
             let stamp = inner.clock.tick(Clock::wall());
@@ -46,17 +46,17 @@
         });
     }
 
-    /// A stamp for a message to another process.
+    /// Returns a timestamp for a message to another process.
     pub fn stamp(&self) -> Stamp {
         self.with(|inner| inner.clock.tick(Clock::wall()))
     }
 
-    /// Takes in the stamp of another process's message.
+    /// Merges the timestamp of another process's message into the hybrid clock.
     pub fn merge(&self, seen: Stamp) {
         self.with(|inner| inner.clock.merge(Clock::wall(), seen));
     }
 
-    /// The events kept, from the oldest on.
+    /// Returns the kept events, oldest first.
     pub fn records(&self) -> Vec<Record> {
         self.with(|inner| inner.ring.iter().cloned().collect())
     }
--- a/crates/thistlesill-net/src/lane.rs
+++ b/crates/thistlesill-net/src/lane.rs
@@ -1,7 +1,7 @@
-//! One HTTP/1.1 connection that is owned by its user.
+//! A single HTTP/1.1 connection, owned by its user.
 //!
-//! A connection pool hides which connection a request travels on; a proxy
-//! has to know whether a request that failed can have reached the other side.
+//! A connection pool hides which connection carries a request; a proxy has to know whether a
+//! request that failed can have reached the server.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -18,19 +18,19 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, timeout_at};
 
-/// Why a request on a connection brought no answer.
+/// The reason why a request on a connection has no answer.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum ConnectionError {
     /// Nothing listens at the address; nothing was sent.
     #[snafu(display("connection refused"))]
     Refused,
-    /// Nothing of the request was sent.
+    /// No part of the request was sent.
     #[snafu(display("not sent: {text}"))]
     Unsent {
         /// The cause.
         text: String,
     },
-    /// The request, or a part of it, may have arrived.
+    /// The connection was lost; the request, or a part of it, may have arrived.
     #[snafu(display("connection lost: {text}"))]
     Lost {
         /// The cause.
@@ -55,8 +55,8 @@
     ///
     /// # Errors
     ///
-    /// [`ConnectionError::Refused`] if nothing listens there, [`ConnectionError::Unsent`]
-    /// if the connection does not come up by `until`.
+    /// [`ConnectionError::Refused`] if nothing listens there, [`ConnectionError::Unsent`] if the
+    /// connection is not established by `until`.
     pub async fn connect(address: SocketAddr, until: Instant) -> Result<Self, ConnectionError> {
         let connect = TcpStream::connect(address);
         let stream = match timeout_at(until, connect).await {
@@ -66,30 +66,30 @@
             }
             Ok(Err(error)) => return Err(unsent(&error)),
             Err(_) => {
-                let text = "the connection did not come up in time".to_owned();
+                let text = "the connection was not established in time".to_owned();
                 return Err(ConnectionError::Unsent { text });
             }
         };
         stream.set_nodelay(true).map_err(|e| unsent(&e))?;
         let handshake = http1::Builder::new()
-            .max_buf_size(READ_BUFFER)
+            .max_buf_size(MAX_BUFFER_BYTES)
             .handshake(TokioIo::new(stream))
             .await;
         let (sender, connection) = handshake.map_err(|e| unsent(&e))?;
         let task = tokio::spawn(async move {
             if let Err(error) = connection.await {
-                log::debug!("lane: a connection ended: {error}");
+                log::debug!("connection ended: {error}");
             }
         });
         Ok(Self { sender, task })
     }
 
-    /// Whether a request can be sent now.
+    /// Returns whether a request can be sent now.
     pub fn is_ready(&self) -> bool {
         self.sender.is_ready() && !self.sender.is_closed()
     }
 
-    /// Sends a request and awaits the head of its answer.
+    /// Sends a request and returns the response, whose body is not read yet.
     ///
     /// # Errors
     ///
@@ -103,9 +103,9 @@
         match timeout_at(until, answer).await {
             Ok(Ok(response)) => Ok(response),
             Ok(Err(mut error)) => {
-                let kept = error.take_message().is_some();
+                let is_unsent = error.take_message().is_some();
                 let text = error.into_error().to_string();
-                Err(if kept {
+                Err(if is_unsent {
                     ConnectionError::Unsent { text }
                 } else {
                     ConnectionError::Lost { text }
@@ -115,20 +115,20 @@
         }
     }
 
-    /// Sends a request and reads the whole answer.
+    /// Sends a request and reads the complete response.
     ///
     /// # Errors
     ///
-    /// As [`HttpConnection::send`]; an answer that breaks off or exceeds `most` bytes
-    /// is [`ConnectionError::Lost`].
+    /// As [`HttpConnection::send`]; a response that breaks off or exceeds `max_bytes` is
+    /// [`ConnectionError::Lost`].
     pub async fn call(
         &mut self,
         request: Request<Full<Bytes>>,
-        most: usize,
+        max_bytes: usize,
         until: Instant,
     ) -> Result<Response<Bytes>, ConnectionError> {
         let (head, body) = self.send(request, until).await?.into_parts();
-        let read = Limited::new(body, most).collect();
+        let read = Limited::new(body, max_bytes).collect();
         match timeout_at(until, read).await {
             Ok(Ok(body)) => Ok(Response::from_parts(head, body.to_bytes())),
             Ok(Err(error)) => {
@@ -147,16 +147,16 @@
 }
 
 impl ConnectionError {
-    /// Whether nothing of the request can have arrived.
+    /// Returns whether no part of the request can have arrived.
     pub const fn is_unsent(&self) -> bool {
         matches!(self, Self::Refused | Self::Unsent { .. })
     }
 }
 
-/// The largest piece that is read at once, in bytes.
-const READ_BUFFER: usize = 64 * 1024;
+/// The size to which a connection's read buffer may grow.
+const MAX_BUFFER_BYTES: usize = 64 * 1024;
 
-/// The time `limit` from now.
+/// Returns the point in time that is `limit` from now.
 pub fn within(limit: Duration) -> Instant {
     Instant::now() + limit
 }
--- a/crates/thistlesill-net/src/launch.rs
+++ b/crates/thistlesill-net/src/launch.rs
@@ -1,5 +1,5 @@
-//! The start of a daemon's program: its settings are read and checked before
-//! anything else.
+//! The entry point of the daemon programs, which read and check their settings before anything
+//! else.
 
 use std::fmt::Display;
 use std::future::Future;
@@ -11,10 +11,12 @@
 use crate::admin::install_logger;
 use crate::files::{FileError, Secrets, read_config, read_secrets};
 
-/// Exit code for settings that do not pass their check.
-const BAD_SETTINGS: u8 = 2;
+/// Exit code for settings or secrets that cannot be used.
+const INVALID_SETTINGS: u8 = 2;
 
-/// Reads a daemon's settings and runs it, or only checks them.
+/// Reads a daemon's settings and secrets, and runs the daemon unless `only_check` is set.
+///
+/// Returns exit code 2 if the settings or secrets cannot be used, 1 if the daemon fails.
 ///
 /// # Panics
 ///
@@ -30,10 +32,10 @@
     E: Display,
 {
     let (config, secrets) = match read(role, path) {
-        Ok(read) => read,
+        Ok(loaded) => loaded,
         Err(error) => {
             eprintln!("{}: {error}", program(role));
-            return ExitCode::from(BAD_SETTINGS);
+            return ExitCode::from(INVALID_SETTINGS);
         }
     };
     if only_check {
--- a/crates/thistlesill-net/src/lib.rs
+++ b/crates/thistlesill-net/src/lib.rs
@@ -1,5 +1,5 @@
-//! The processes' edges: clients of the platform, of targets and of peers,
-//! and what all daemons serve to operators.
+//! Network input and output of the daemons: clients of the platform, of targets and of peers,
+//! and the operators' interface that all daemons serve.
 
 pub mod admin;
 pub mod base;
--- a/crates/thistlesill-net/src/peer.rs
+++ b/crates/thistlesill-net/src/peer.rs
@@ -1,5 +1,4 @@
-//! The link between daemons: sealed datagrams over UDP, and questions about
-//! settings over TCP.
+//! The link between daemons: sealed datagrams over UDP, and requests for settings over TCP.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,14 +20,14 @@
 use crate::clock::Clock;
 use crate::journal::Journal;
 
-/// Bytes of a frame on a stream, at most.
-const MAX_FRAME: usize = 64 << 20;
-/// Time for a question on a stream.
-const ASK_LIMIT: Duration = Duration::from_secs(5);
-/// Streams of peers at a time.
+/// The largest frame on a stream.
+const MAX_FRAME_BYTES: usize = 64 << 20;
+/// The time for a request and its reply on a stream.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
+/// The number of peers' streams that are served at a time.
 const MAX_STREAMS: usize = 64;
 
-/// Why the link failed.
+/// An error of the peer link.
 #[derive(Debug, Snafu)]
 pub enum PeerError {
     /// An address could not be bound or reached.
@@ -39,32 +38,32 @@
         /// The cause.
         source: std::io::Error,
     },
-    /// A message was not accepted.
+    /// A reply does not verify or decode.
     #[snafu(display("{source}"))]
     Seal {
         /// The cause.
         source: SealError,
     },
-    /// The peer did not answer in time.
+    /// The peer did not answer in time, or closed the connection.
     #[snafu(display("the peer did not answer"))]
-    Silent,
+    Unresponsive,
 }
 
-/// A datagram that was accepted.
+/// An accepted datagram.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PeerMessage {
-    /// The sender.
+    /// The sender's name.
     pub from: NodeId,
-    /// Our wall clock less the sender's, in milliseconds.
+    /// The local wall clock minus the sender's timestamp, in milliseconds.
     pub lag: i64,
-    /// The content.
+    /// The message.
     pub body: PeerBody,
 }
 
 /// The sending side of the link; cheap to clone.
 #[derive(Debug, Clone)]
 pub struct PeerLink {
-    me: NodeId,
+    local_name: NodeId,
     key: SharedKey,
     socket: Arc<UdpSocket>,
     journal: Journal,
@@ -75,9 +74,9 @@
     ///
     /// # Errors
     ///
-    /// [`PeerError::Io`] if the address is taken.
+    /// [`PeerError::Io`] if the address cannot be bound.
     pub async fn bind(
-        me: NodeId,
+        local_name: NodeId,
         address: SocketAddr,
         key: SharedKey,
         journal: Journal,
@@ -86,18 +85,19 @@
             .await
             .context(IoSnafu { address })?;
         Ok(Self {
-            me,
+            local_name,
             key,
             socket: Arc::new(socket),
             journal,
         })
     }
 
-    /// Sends a message to each of the peers. A message that is lost is made
-    /// good by a later one.
+    /// Sends a message to each of the peers, once: a later message makes up for a lost one.
+    ///
+    /// A message that exceeds [`MAX_DATAGRAM`] is counted and not sent.
     pub fn send<'a>(&self, peers: impl IntoIterator<Item = &'a PeerConfig>, body: PeerBody) {
         let datagram = Datagram {
-            from: self.me.clone(),
+            from: self.local_name.clone(),
             stamp: self.journal.stamp(),
             body,
         };
@@ -109,13 +109,13 @@
         for peer in peers {
             metrics::counter!("thistlesill_peer_sent_total").increment(1);
             metrics::counter!("thistlesill_peer_sent_bytes_total").increment(bytes.len() as u64);
-            // A full socket buffer loses the datagram, as the network may.
+            // A full socket buffer drops the datagram, as the network may.
             drop(self.socket.try_send_to(&bytes, peer.peer));
         }
     }
 
-    /// Receives datagrams until the receiver of `out` is gone.
-    pub async fn listen(self, out: mpsc::Sender<PeerMessage>) {
+    /// Receives datagrams and passes accepted ones to `messages`, until the receiver is dropped.
+    pub async fn listen(self, messages: mpsc::Sender<PeerMessage>) {
         let mut buffer = vec![0; MAX_DATAGRAM + 1];
         loop {
             let Ok((length, _)) = self.socket.recv_from(&mut buffer).await else {
@@ -123,8 +123,8 @@
             };
             metrics::counter!("thistlesill_peer_received_bytes_total").increment(length as u64);
             match self.open(&buffer[..length]) {
-                Ok(heard) => {
-                    if out.send(heard).await.is_err() {
+                Ok(message) => {
+                    if messages.send(message).await.is_err() {
                         return;
                     }
                 }
@@ -149,57 +149,59 @@
         })
     }
 
-    /// Asks a peer a question on a stream.
+    /// Sends a request to a peer on a new stream, and returns the reply.
     ///
     /// # Errors
     ///
-    /// A [`PeerError`] if the peer cannot be reached, does not answer in
-    /// time or has another key.
-    pub async fn ask(
+    /// A [`PeerError`] if the peer cannot be reached, does not answer in time or has another key.
+    pub async fn request(
         &self,
         address: SocketAddr,
-        ask: &StreamRequest,
+        request: &StreamRequest,
     ) -> Result<StreamReply, PeerError> {
         let exchange = async {
             let stream = TcpStream::connect(address)
                 .await
                 .context(IoSnafu { address })?;
-            let mut frames = frames(stream, MAX_FRAME);
-            write(&mut frames, &self.key, ask).await?;
+            let mut frames = frames(stream, MAX_FRAME_BYTES);
+            write(&mut frames, &self.key, request).await?;
             read(&mut frames, &self.key).await
         };
-        match tokio::time::timeout(ASK_LIMIT, exchange).await {
+        match tokio::time::timeout(REQUEST_TIMEOUT, exchange).await {
             Ok(result) => result,
-            Err(_) => Err(PeerError::Silent),
+            Err(_) => Err(PeerError::Unresponsive),
         }
     }
 }
 
-/// Answers questions on streams with `reply`, for ever.
+/// Answers requests on streams with `reply`, until the process ends.
 ///
 /// # Errors
 ///
-/// [`PeerError::Io`] if the address is taken.
-pub async fn answer<F>(address: SocketAddr, key: SharedKey, reply: F) -> Result<(), PeerError>
+/// [`PeerError::Io`] if the address cannot be bound.
+pub async fn serve<F>(address: SocketAddr, key: SharedKey, reply: F) -> Result<(), PeerError>
 where
     F: Fn(StreamRequest) -> StreamReply + Clone + Send + 'static,
 {
     let listener = TcpListener::bind(address)
         .await
         .context(IoSnafu { address })?;
-    let room = Arc::new(tokio::sync::Semaphore::new(MAX_STREAMS));
+    let permits = Arc::new(tokio::sync::Semaphore::new(MAX_STREAMS));
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             continue;
         };
-        let Ok(permit) = room.clone().try_acquire_owned() else {
+        let Ok(permit) = permits.clone().try_acquire_owned() else {
             metrics::counter!("thistlesill_peer_refused_total").increment(1);
             continue;
         };
         let (key, reply) = (key.clone(), reply.clone());
         tokio::spawn(async move {
-            let exchange = answer_one(stream, &key, reply);
-            if !matches!(tokio::time::timeout(ASK_LIMIT, exchange).await, Ok(Ok(()))) {
+            let exchange = serve_one(stream, &key, reply);
+            if !matches!(
+                tokio::time::timeout(REQUEST_TIMEOUT, exchange).await,
+                Ok(Ok(()))
+            ) {
                 metrics::counter!("thistlesill_peer_refused_total").increment(1);
             }
             drop(permit);
@@ -207,22 +209,22 @@
     }
 }
 
-async fn answer_one<F>(stream: TcpStream, key: &SharedKey, reply: F) -> Result<(), PeerError>
+async fn serve_one<F>(stream: TcpStream, key: &SharedKey, reply: F) -> Result<(), PeerError>
 where
     F: Fn(StreamRequest) -> StreamReply,
 {
-    let mut frames = frames(stream, MAX_FRAME);
-    let ask: StreamRequest = read(&mut frames, key).await?;
-    write(&mut frames, key, &reply(ask)).await
+    let mut frames = frames(stream, MAX_FRAME_BYTES);
+    let request: StreamRequest = read(&mut frames, key).await?;
+    write(&mut frames, key, &reply(request)).await
 }
 
-/// A connection that carries frames of a known length.
+/// A connection that carries length-prefixed frames.
 pub type Frames = Framed<TcpStream, LengthDelimitedCodec>;
 
-/// Frames of at most `most` bytes on a connection.
-pub fn frames(stream: TcpStream, most: usize) -> Frames {
+/// Reads and writes a connection as frames of at most `max_bytes` each.
+pub fn frames(stream: TcpStream, max_bytes: usize) -> Frames {
     let codec = LengthDelimitedCodec::builder()
-        .max_frame_length(most)
+        .max_frame_length(max_bytes)
         .new_codec();
     Framed::new(stream, codec)
 }
@@ -233,12 +235,15 @@
     message: &T,
 ) -> Result<(), PeerError> {
     let bytes = Bytes::from(key.seal(message));
-    frames.send(bytes).await.map_err(|_| PeerError::Silent)
+    frames
+        .send(bytes)
+        .await
+        .map_err(|_| PeerError::Unresponsive)
 }
 
 async fn read<T: DeserializeOwned>(frames: &mut Frames, key: &SharedKey) -> Result<T, PeerError> {
     let Some(Ok(bytes)) = frames.next().await else {
-        return Err(PeerError::Silent);
+        return Err(PeerError::Unresponsive);
     };
     key.open(&bytes).context(SealSnafu)
 }
--- a/crates/thistlesill-net/src/platform.rs
+++ b/crates/thistlesill-net/src/platform.rs
@@ -1,4 +1,4 @@
-//! The client of the platform: its table service and its list of instances.
+//! The client of the platform's table service and list of instances.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,12 +8,10 @@
 
 use crate::http::{HttpClient, HttpError};
 
-/// Time for a call of the table service.
-const TABLE_LIMIT: Duration = Duration::from_millis(1_500);
-/// Time for reading the list.
-const LIST_LIMIT: Duration = Duration::from_millis(2_000);
+const TABLE_TIMEOUT: Duration = Duration::from_millis(1_500);
+const LIST_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// A client of the platform's service.
+/// A client of the platform's services.
 #[derive(Debug, Clone)]
 pub struct Platform {
     address: SocketAddr,
@@ -21,7 +19,7 @@
 }
 
 impl Platform {
-    /// A client of the service at an address.
+    /// Creates a client of the services at an address.
     pub fn new(address: SocketAddr) -> Self {
         Self {
             address,
@@ -31,17 +29,17 @@
 
     /// Sends a transaction.
     ///
-    /// Whatever is not a clear answer is [`TxnResult::Unknown`], never a
-    /// failure: the transaction may have taken effect.
+    /// Every error is reported as [`TxnResult::Unknown`] and never as a failure, because the
+    /// transaction may have taken effect.
     pub async fn txn(&self, txn: &Txn) -> TxnResult {
-        let call = self
-            .http
-            .post_json::<_, TxnReply>(self.address, "/table/txn", txn, TABLE_LIMIT);
+        let call =
+            self.http
+                .post_json::<_, TxnReply>(self.address, "/table/txn", txn, TABLE_TIMEOUT);
         call.await.map_or(TxnResult::Unknown, TxnResult::Replied)
     }
 
-    /// Reads all rows whose keys begin with one of the prefixes, at one
-    /// version.
+    /// Reads all rows whose keys begin with one of the prefixes, all at the same version of the
+    /// table.
     ///
     /// # Errors
     ///
@@ -50,7 +48,7 @@
         let read = Read { prefixes };
         let call = self
             .http
-            .post_json(self.address, "/table/read", &read, TABLE_LIMIT);
+            .post_json(self.address, "/table/read", &read, TABLE_TIMEOUT);
         call.await
     }
 
@@ -60,7 +58,7 @@
     ///
     /// Any [`HttpError`].
     pub async fn instances(&self) -> Result<Vec<ListedInstance>, HttpError> {
-        let call = self.http.get_json(self.address, "/instances", LIST_LIMIT);
+        let call = self.http.get_json(self.address, "/instances", LIST_TIMEOUT);
         call.await
     }
 }
--- a/crates/thistlesill-net/src/sync.rs
+++ b/crates/thistlesill-net/src/sync.rs
@@ -1,5 +1,5 @@
-//! How a daemon learns the settings: from the platform's table, or from a
-//! peer that has a newer revision.
+//! Distribution of the settings: from the platform's table, or from a peer that has a newer
+//! revision.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -17,10 +17,10 @@
 use crate::peer::PeerLink;
 use crate::platform::Platform;
 
-/// Changes that are kept for peers that lag behind.
+/// The number of changes that are kept for peers with an older revision.
 const MAX_CHANGES: usize = 64;
 
-/// The settings in force in a process, for its other tasks to read.
+/// The settings in force, shared between the tasks of a process.
 #[derive(Debug, Clone, Default)]
 pub struct CurrentSettings {
     tree: Arc<ArcSwapOption<Tree>>,
@@ -28,12 +28,12 @@
 }
 
 impl CurrentSettings {
-    /// The settings in force.
+    /// Returns the settings in force, or `None` before the first ones were read.
     pub fn get(&self) -> Option<Arc<Tree>> {
         self.tree.load_full()
     }
 
-    /// Puts settings in force, unless newer ones are.
+    /// Puts settings in force, unless their revision or a newer one already is.
     pub fn update(&self, tree: &Arc<Tree>) {
         let old = self.get();
         if old
@@ -54,15 +54,15 @@
         self.tree.store(Some(tree.clone()));
     }
 
-    /// The revision in force; 0 for none.
+    /// Returns the revision in force; 0 for none.
     pub fn revision(&self) -> u64 {
         self.get().map_or(0, |t| t.revision())
     }
 
-    /// Answers a peer's question: with the changes since its revision if
-    /// they are kept, else with the whole tree.
-    pub fn reply(&self, ask: &StreamRequest) -> StreamReply {
-        let StreamRequest::Settings { have } = ask;
+    /// Answers a peer's request with the changes since its revision if they are kept, or else with
+    /// the complete tree.
+    pub fn reply(&self, request: &StreamRequest) -> StreamReply {
+        let StreamRequest::Settings { have } = request;
         let Some(tree) = self.get().filter(|t| t.revision() > *have) else {
             return StreamReply::Nothing;
         };
@@ -85,78 +85,86 @@
     }
 }
 
-/// Decides when this process reads the settings' head from the table.
+/// Decides when this process reads the settings' head from the table, and when it may fetch
+/// settings from a peer.
 ///
-/// The two daemons of a hall that rank highest read it every period; the
-/// others hear of it from them, and read it seldom, in case they do not.
+/// The two daemons of a hall that rank highest read the head every period. The others receive the
+/// revision from them, and read the head every tenth period, in case they do not.
 #[derive(Debug, Clone)]
-pub struct HeadWatch {
-    me: NodeId,
+pub struct HeadSchedule {
+    local_name: NodeId,
     hall: HallId,
     period: Millis,
+    /// When each daemon of the hall last announced its revision.
     neighbours: BTreeMap<NodeId, Millis>,
-    read: Option<Millis>,
-    fetched: Option<Millis>,
+    last_read: Option<Millis>,
+    last_fetch: Option<Millis>,
 }
 
-impl HeadWatch {
-    /// Daemons of a hall that read every period.
+impl HeadSchedule {
+    /// The number of daemons of a hall that read every period.
     const READERS: usize = 2;
-    /// Periods after which the others read, too.
-    const SELDOM: u64 = 10;
-    /// After which a silent neighbour counts as gone: it speaks every two
+    /// The number of periods between two reads of the other daemons.
+    const OTHERS_READ_PERIODS: u64 = 10;
+    /// The time after which a neighbour without messages counts as gone; neighbours send every two
     /// seconds.
-    const SILENT: Millis = Millis::new(7_000);
+    const NEIGHBOUR_TIMEOUT: Millis = Millis::new(7_000);
 
-    /// A watch that has heard of no neighbours.
-    pub const fn new(me: NodeId, hall: HallId, period_ms: u64) -> Self {
+    /// Creates a schedule without known neighbours.
+    pub const fn new(local_name: NodeId, hall: HallId, period_ms: u64) -> Self {
         Self {
-            me,
+            local_name,
             hall,
             period: Millis::new(period_ms),
             neighbours: BTreeMap::new(),
-            read: None,
-            fetched: None,
+            last_read: None,
+            last_fetch: None,
         }
     }
 
-    /// Notes that a peer said which settings it has.
-    pub fn heard(&mut self, peer: &PeerConfig, now: Millis) {
+    /// Records that a peer announced its revision; peers of other halls are ignored.
+    pub fn record_peer(&mut self, peer: &PeerConfig, now: Millis) {
         if peer.hall == self.hall {
             self.neighbours.insert(peer.name.clone(), now);
         }
     }
 
-    /// Whether to read the head now; counts as read from here on.
+    /// Returns whether to read the head now, and records the read if so.
     pub fn is_due(&mut self, now: Millis) -> bool {
-        self.neighbours.retain(|_, t| now - *t < Self::SILENT);
+        self.neighbours
+            .retain(|_, t| now - *t < Self::NEIGHBOUR_TIMEOUT);
         let names: Vec<NodeId> = self.neighbours.keys().cloned().collect();
-        let reader = is_among(&self.me, &names, self.hall.as_str(), Self::READERS);
-        let factor = if reader { 1 } else { Self::SELDOM };
-        let gap = Millis::new(self.period.get() * factor);
-        let due = self.read.is_none_or(|t| now - t >= gap);
+        let reader = is_among(&self.local_name, &names, self.hall.as_str(), Self::READERS);
+        let factor = if reader { 1 } else { Self::OTHERS_READ_PERIODS };
+        let interval = Millis::new(self.period.get() * factor);
+        let due = self.last_read.is_none_or(|t| now - t >= interval);
         if due {
-            self.read = Some(now);
+            self.last_read = Some(now);
         }
         due
     }
 
-    /// Whether to fetch newer settings from a peer now: not several times
-    /// over, when many peers say that they have them.
+    /// Returns whether to fetch newer settings from a peer now, and records the fetch if so.
+    ///
+    /// Fetches are at least a quarter of a period apart, so that newer settings that many peers
+    /// announce are not fetched several times.
     pub fn may_fetch(&mut self, now: Millis) -> bool {
-        let gap = Millis::new(self.period.get() / 4);
-        let free = self.fetched.is_none_or(|t| now - t >= gap);
-        if free {
-            self.fetched = Some(now);
+        let interval = Millis::new(self.period.get() / 4);
+        let allowed = self.last_fetch.is_none_or(|t| now - t >= interval);
+        if allowed {
+            self.last_fetch = Some(now);
         }
-        free
+        allowed
     }
 }
 
-/// Reads the settings from the table if they are newer than those on the
-/// shelf: the edits since, or the whole tree if these are many.
-pub async fn from_platform(platform: &Platform, shelf: &CurrentSettings) -> Option<Arc<Tree>> {
-    let have = shelf.get();
+/// Reads the settings from the table if they are newer than those in force: the edits since, or
+/// the complete tree if these are many or not all there.
+pub async fn fetch_from_platform(
+    platform: &Platform,
+    current: &CurrentSettings,
+) -> Option<Arc<Tree>> {
+    let have = current.get();
     let head = platform.read(vec![HEAD_KEY.into()]).await.ok()?;
     let revision = head.find(HEAD_KEY)?.decode::<HeadRow>().ok()?.revision;
     let known = have.as_ref().map_or(0, |t| t.revision());
@@ -176,7 +184,8 @@
         .map(Arc::new)
 }
 
-/// Applies the edits that lead to `revision`; `None` unless all are there.
+/// Applies the edits that lead to `revision`; returns `None` unless all are there and the result
+/// passes its check.
 fn apply_edits(old: &Tree, rows: &Rows, revision: u64) -> Option<Tree> {
     let mut tree = old.clone();
     for row in &rows.rows {
@@ -190,10 +199,11 @@
         tree = tree.apply(edit.revision, &diff);
     }
     let complete = tree.revision() == revision;
-    complete.then(|| sound(revision, tree.branches().clone()))?
+    complete.then(|| checked_tree(revision, tree.branches().clone()))?
 }
 
-/// Makes a tree of the rows of one read; `None` if they are not all sound.
+/// Builds a tree from the rows of one read; returns `None` if a row is missing or malformed, or if
+/// the tree does not pass its check.
 pub fn tree_from_rows(rows: &Rows) -> Option<Tree> {
     let head: HeadRow = rows.find(HEAD_KEY)?.decode().ok()?;
     let mut branches = BTreeMap::new();
@@ -202,24 +212,24 @@
             branches.insert(path.to_owned(), row.decode::<Branch>().ok()?);
         }
     }
-    sound(head.revision, branches)
+    checked_tree(head.revision, branches)
 }
 
-/// Reads the settings from a peer if they are newer than those on the shelf.
-pub async fn from_peer(
+/// Reads the settings from a peer if they are newer than those in force.
+pub async fn fetch_from_peer(
     link: &PeerLink,
     peer: SocketAddr,
-    shelf: &CurrentSettings,
+    current: &CurrentSettings,
 ) -> Option<Arc<Tree>> {
-    let have = shelf.revision();
+    let have = current.revision();
     let reply = link
-        .ask(peer, &StreamRequest::Settings { have })
+        .request(peer, &StreamRequest::Settings { have })
         .await
         .ok()?;
     let tree = match reply {
         StreamReply::Nothing => None,
         StreamReply::Changes { changes } => {
-            let old = shelf.get()?;
+            let old = current.get()?;
             apply_changes(&old, &changes)
         }
         StreamReply::Settings { revision, branches } => {
@@ -227,13 +237,14 @@
             for entry in &branches {
                 read.insert(entry.path.clone(), entry.branch().ok()?);
             }
-            sound(revision, read)
+            checked_tree(revision, read)
         }
     };
     tree.filter(|t| t.revision() > have).map(Arc::new)
 }
 
-/// Applies a peer's changes; `None` if they do not follow one another.
+/// Applies a peer's changes; returns `None` if they do not follow one another or the result does
+/// not pass its check.
 fn apply_changes(old: &Tree, changes: &[ChangeEntry]) -> Option<Tree> {
     let mut tree = old.clone();
     for change in changes {
@@ -242,14 +253,14 @@
         }
         tree = tree.apply(change.to, &change.diff().ok()?);
     }
-    sound(tree.revision(), tree.branches().clone())
+    checked_tree(tree.revision(), tree.branches().clone())
 }
 
-fn sound(revision: u64, branches: BTreeMap<String, Branch>) -> Option<Tree> {
+fn checked_tree(revision: u64, branches: BTreeMap<String, Branch>) -> Option<Tree> {
     if check(&branches).is_empty() {
         Some(Tree::new(revision, branches))
     } else {
-        log::error!("settings: revision {revision} does not pass its check and is not taken");
+        log::error!("settings: revision {revision} does not pass its check and is ignored");
         None
     }
 }
--- a/crates/thistlesill-net/tests/cuts.rs
+++ b/crates/thistlesill-net/tests/cuts.rs
@@ -1,5 +1,5 @@
-//! A connection to a target that is cut at each point: what the client says
-//! of it must be true.
+//! Cuts the connection to a target at each point of a request. An event that wrongly states that
+//! the request did not run would let the request run twice.
 
 use std::net::SocketAddr;
 
@@ -10,7 +10,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// What the fake target does with a connection.
+/// The point at which the fake target closes a connection.
 #[derive(Debug, Clone, Copy)]
 enum Cut {
     BeforeReading,
--- a/crates/thistlesill-net/tests/kept.rs
+++ b/crates/thistlesill-net/tests/kept.rs
@@ -1,4 +1,4 @@
-//! A kept connection that fell silent while nobody used it.
+//! Tests a kept connection that stops answering while it is unused.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,9 +10,8 @@
 const ANSWER: &str = "HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\n1";
 const LIMIT: Duration = Duration::from_millis(400);
 
-/// A server whose connections answer once and then say nothing more, without a
-/// reset.
-async fn forgetful() -> SocketAddr {
+/// Starts a server whose connections answer once and then stay open without another answer.
+async fn single_answer_server() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     tokio::spawn(async move {
@@ -31,11 +30,11 @@
     while stream.read(&mut buffer).await.is_ok_and(|n| n > 0) {}
 }
 
-/// A daemon that called its table or an engine seldom lost a call, and its whole
-/// time-out, for each connection that it had kept.
+/// A daemon that seldom called its table or an engine lost a call, and the call's whole timeout,
+/// for each connection that it had kept.
 #[tokio::test]
 async fn a_connection_that_was_long_unused_carries_no_call() {
-    let address = forgetful().await;
+    let address = single_answer_server().await;
     let client = HttpClient::pooled();
     let call = || async { client.get_json::<u32>(address, "/", LIMIT).await };
     assert_eq!(call().await.expect("a new connection answers"), 1);
--- a/crates/thistlesill-net/tests/shelf.rs
+++ b/crates/thistlesill-net/tests/shelf.rs
@@ -1,4 +1,5 @@
-//! Settings pass from daemon to daemon as the changes since what one has.
+//! Tests the answers to peers that request settings: the changes since the peer's revision, or the
+//! complete tree.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -27,30 +28,30 @@
     Arc::new(Tree::new(revision, branches))
 }
 
-fn ask(shelf: &CurrentSettings, have: u64) -> StreamReply {
-    shelf.reply(&StreamRequest::Settings { have })
+fn request(current: &CurrentSettings, have: u64) -> StreamReply {
+    current.reply(&StreamRequest::Settings { have })
 }
 
 #[test]
 fn lower_revision_never_replaces_a_higher_one() {
-    let shelf = CurrentSettings::default();
-    shelf.update(&tree(5, 2));
-    shelf.update(&tree(4, 2));
-    assert_eq!(shelf.revision(), 5);
+    let current = CurrentSettings::default();
+    current.update(&tree(5, 2));
+    current.update(&tree(4, 2));
+    assert_eq!(current.revision(), 5);
 }
 
 #[test]
 fn peer_that_lags_gets_the_changes_only() {
-    let shelf = CurrentSettings::default();
+    let current = CurrentSettings::default();
     for revision in 1..=4 {
-        shelf.update(&tree(revision, 1_000));
+        current.update(&tree(revision, 1_000));
     }
-    assert_eq!(ask(&shelf, 4), StreamReply::Nothing);
-    let StreamReply::Changes { changes } = ask(&shelf, 2) else {
+    assert_eq!(request(&current, 4), StreamReply::Nothing);
+    let StreamReply::Changes { changes } = request(&current, 2) else {
         panic!("changes");
     };
-    let steps: Vec<(u64, u64)> = changes.iter().map(|c| (c.from, c.to)).collect();
-    assert_eq!(steps, vec![(2, 3), (3, 4)]);
+    let ranges: Vec<(u64, u64)> = changes.iter().map(|c| (c.from, c.to)).collect();
+    assert_eq!(ranges, vec![(2, 3), (3, 4)]);
     assert!(
         changes.iter().all(|c| c.json.len() < 200),
         "one branch each"
@@ -59,23 +60,23 @@
 
 #[test]
 fn peer_that_has_nothing_or_too_old_settings_gets_the_whole_tree() {
-    let shelf = CurrentSettings::default();
+    let current = CurrentSettings::default();
     for revision in 1..=100 {
-        shelf.update(&tree(revision, 3));
+        current.update(&tree(revision, 3));
     }
     for have in [0, 7] {
-        let reply = ask(&shelf, have);
+        let reply = request(&current, have);
         assert!(matches!(reply, StreamReply::Settings { revision: 100, .. }));
     }
-    assert!(matches!(ask(&shelf, 60), StreamReply::Changes { .. }));
+    assert!(matches!(request(&current, 60), StreamReply::Changes { .. }));
 }
 
 #[test]
 fn changes_lead_to_the_same_tree() {
-    let shelf = CurrentSettings::default();
-    shelf.update(&tree(1, 5));
-    shelf.update(&tree(2, 3));
-    let StreamReply::Changes { changes } = ask(&shelf, 1) else {
+    let current = CurrentSettings::default();
+    current.update(&tree(1, 5));
+    current.update(&tree(2, 3));
+    let StreamReply::Changes { changes } = request(&current, 1) else {
         panic!("changes");
     };
     let diff = changes[0].diff().expect("a change");
