--- a/crates/thistlesill-planner/src/daemon.rs
+++ b/crates/thistlesill-planner/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The planner's loop: events in, the core's step, actions out.
+//! The planner's event loop, which passes events to the core and performs the core's actions.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -27,12 +27,12 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::mpsc;
 
-/// Between two looks at the time.
-const TICK: Duration = Duration::from_millis(50);
-/// How long a stopping planner waits for its leases to be given up.
-const RELEASE_LIMIT: Duration = Duration::from_millis(2_000);
+/// The interval of [`PlannerEvent::Tick`].
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// How long a stopping planner waits for its transactions, which give up its leases.
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// Why a planner could not start.
+/// The reason why a planner could not start.
 #[derive(Debug, Snafu)]
 pub enum StartError {
     /// A state chart does not pass its check.
@@ -59,26 +59,25 @@
     engines: Engines,
     feed: SettingsFeed,
     events: mpsc::UnboundedSender<PlannerEvent>,
-    listed: Option<Millis>,
-    /// Transactions on their way.
-    flying: usize,
+    last_listed: Option<Millis>,
+    pending_txns: usize,
     exit: bool,
 }
 
-/// Runs a planner until it is told to stop.
+/// Runs a planner until a `SIGTERM` or an operator's drain command stops it.
 ///
 /// # Errors
 ///
-/// A [`StartError`] if it could not start.
+/// A [`StartError`] if the planner could not start.
 ///
 /// # Panics
 ///
-/// If the process cannot await signals.
+/// If the process cannot install a signal handler.
 pub async fn run(config: DaemonConfig, secrets: Secrets) -> Result<(), StartError> {
     let (events, mut inbox) = mpsc::unbounded_channel();
     let core = PlannerCore::new(options(&config)).context(ChartsSnafu)?;
     let base = base::start(&config, &secrets).await.context(PeersSnafu)?;
-    let (mut asked, mut datagrams) = (base.admin_requests, base.datagrams);
+    let (mut admin_requests, mut datagrams) = (base.admin_requests, base.datagrams);
     let mut daemon = Daemon {
         core,
         clock: Clock::new(),
@@ -88,34 +87,37 @@
         journal: base.journal,
         link: base.link,
         events,
-        listed: None,
-        flying: 0,
+        last_listed: None,
+        pending_txns: 0,
         exit: false,
         config,
     };
     log::info!("planner: {} started", daemon.config.name);
-    let mut tick = tokio::time::interval(TICK);
+    let mut tick = tokio::time::interval(TICK_INTERVAL);
     tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let mut stop = signal(SignalKind::terminate()).expect("signals can be awaited");
     while !daemon.exit {
         tokio::select! {
-            Some(event) = inbox.recv() => daemon.take(event),
-            Some(question) = asked.recv() => daemon.answer(question),
-            Some(message) = datagrams.recv() => daemon.hear(message),
+            Some(event) = inbox.recv() => daemon.handle(event),
+            Some(request) = admin_requests.recv() => daemon.answer(request),
+            Some(message) = datagrams.recv() => daemon.receive(message),
             _ = stop.recv() => daemon.stop(),
             _ = tick.tick() => daemon.tick(),
         }
     }
     let released = async {
-        while daemon.flying > 0 {
+        while daemon.pending_txns > 0 {
             match inbox.recv().await {
-                Some(event) => daemon.take(event),
+                Some(event) => daemon.handle(event),
                 None => break,
             }
         }
     };
-    if tokio::time::timeout(RELEASE_LIMIT, released).await.is_err() {
-        log::warn!("planner: leases could not be given up and will lapse");
+    if tokio::time::timeout(RELEASE_TIMEOUT, released)
+        .await
+        .is_err()
+    {
+        log::warn!("planner: could not give up its leases, which will expire");
     }
     log::info!("planner: stopped");
     Ok(())
@@ -144,9 +146,9 @@
 }
 
 impl Daemon {
-    fn take(&mut self, event: PlannerEvent) {
+    fn handle(&mut self, event: PlannerEvent) {
         if matches!(event, PlannerEvent::TxnDone { .. }) {
-            self.flying = self.flying.saturating_sub(1);
+            self.pending_txns = self.pending_txns.saturating_sub(1);
         }
         self.step(event);
     }
@@ -155,34 +157,34 @@
         let now = self.clock.now();
         let actions = self.core.step(event, now);
         for action in actions {
-            self.act(action);
+            self.perform(action);
         }
     }
 
     fn stop(&mut self) {
-        log::info!("planner: {} is told to stop", self.config.name);
+        log::info!("planner: {} is stopping", self.config.name);
         self.step(PlannerEvent::Stop);
     }
 
     fn tick(&mut self) {
         self.step(PlannerEvent::Tick);
         let now = self.clock.now();
-        let take = self.settings_sink();
-        self.feed.tick(now, take);
-        let gap = Millis::new(self.config.periods.list_ms);
-        if self.listed.is_none_or(|t| now - t >= gap) {
-            self.listed = Some(now);
-            self.read_list();
+        let on_update = self.on_settings();
+        self.feed.tick(now, on_update);
+        let list_interval = Millis::new(self.config.periods.list_ms);
+        if self.last_listed.is_none_or(|t| now - t >= list_interval) {
+            self.last_listed = Some(now);
+            self.list_instances();
         }
     }
 
-    /// Hands settings that were read to the loop.
-    fn settings_sink(&self) -> impl FnOnce(Arc<Tree>) + Send + use<> {
+    /// Returns a callback that passes new settings to the event loop.
+    fn on_settings(&self) -> impl FnOnce(Arc<Tree>) + Send + use<> {
         let events = self.events.clone();
         move |tree| drop(events.send(PlannerEvent::Settings(tree)))
     }
 
-    fn read_list(&self) {
+    fn list_instances(&self) {
         let (platform, events) = (self.platform.clone(), self.events.clone());
         tokio::spawn(async move {
             if let Ok(listed) = platform.instances().await {
@@ -191,28 +193,28 @@
         });
     }
 
-    fn hear(&mut self, message: PeerMessage) {
+    fn receive(&mut self, message: PeerMessage) {
         let PeerMessage { from, lag, body } = message;
         match body {
-            PeerBody::Beat(beat) => self.step(PlannerEvent::Heartbeat {
+            PeerBody::Beat(heartbeat) => self.step(PlannerEvent::Heartbeat {
                 from,
-                heartbeat: beat,
+                heartbeat,
                 lag,
             }),
             PeerBody::Digest(part) => self.step(PlannerEvent::Digest { from, part, lag }),
             PeerBody::Want => self.step(PlannerEvent::DigestRequested(from)),
             PeerBody::Head { revision } => {
-                let take = self.settings_sink();
+                let on_update = self.on_settings();
                 self.feed
-                    .receive_head(&from, revision, self.clock.now(), take);
+                    .receive_head(&from, revision, self.clock.now(), on_update);
             }
             PeerBody::Usage(_) | PeerBody::Fatal(_) => {}
         }
     }
 
-    fn answer(&mut self, question: AdminRequest) {
+    fn answer(&mut self, request: AdminRequest) {
         let now = self.clock.now();
-        let reply = match question.command {
+        let reply = match request.command {
             AdminCommand::Ready if self.core.is_ready() => AdminReply::Yes,
             AdminCommand::Ready => AdminReply::No,
             AdminCommand::Status => AdminReply::value(&self.core.status(now)),
@@ -223,10 +225,10 @@
                 AdminReply::Yes
             }
         };
-        drop(question.reply.send(reply));
+        drop(request.reply.send(reply));
     }
 
-    fn act(&mut self, action: PlannerAction) {
+    fn perform(&mut self, action: PlannerAction) {
         match action {
             PlannerAction::Probe(address) => self.probe(address),
             PlannerAction::SendTxn { hall, flight, txn } => self.send_txn(hall, flight, txn),
@@ -239,9 +241,10 @@
                 hall,
                 order,
                 address,
-            } => self.give(hall, order, address),
-            PlannerAction::SendHeartbeat(beat) => {
-                self.link.send(&self.config.peers, PeerBody::Beat(beat));
+            } => self.send_order(hall, order, address),
+            PlannerAction::SendHeartbeat(heartbeat) => {
+                self.link
+                    .send(&self.config.peers, PeerBody::Beat(heartbeat));
             }
             PlannerAction::SendDigest { to, parts } => {
                 for part in parts {
@@ -260,9 +263,9 @@
                 self.link
                     .send(&self.config.peers, PeerBody::Head { revision });
             }
-            PlannerAction::Note(what) => {
-                log_event(&what);
-                self.journal.record(what);
+            PlannerAction::Note(event) => {
+                log_event(&event);
+                self.journal.record(event);
             }
             PlannerAction::Exit => self.exit = true,
         }
@@ -280,7 +283,7 @@
     }
 
     fn send_txn(&mut self, hall: HallId, flight: u64, txn: Txn) {
-        self.flying += 1;
+        self.pending_txns += 1;
         let (platform, events) = (self.platform.clone(), self.events.clone());
         tokio::spawn(async move {
             let result = platform.txn(&txn).await;
@@ -300,7 +303,7 @@
         });
     }
 
-    fn give(&self, hall: HallId, order: Order, address: SocketAddr) {
+    fn send_order(&self, hall: HallId, order: Order, address: SocketAddr) {
         let (engines, events) = (self.engines.clone(), self.events.clone());
         tokio::spawn(async move {
             let reply = engines.order(address, &order).await.ok();
@@ -314,22 +317,22 @@
     }
 }
 
-fn log_event(what: &TimelineEvent) {
-    match what {
+fn log_event(event: &TimelineEvent) {
+    match event {
         TimelineEvent::LeaseGained { hall, term } => {
-            log::info!("planner: holds the lease of {hall}, term {term}");
+            log::info!("planner: gained the lease of {hall}, term {term}");
         }
         TimelineEvent::LeaseEnded { hall, term } => {
             log::info!("planner: no longer holds the lease of {hall}, term {term}");
         }
         TimelineEvent::GroupPlanned { group, members, .. } => {
             log::info!(
-                "planner: group {group} planned with {} members",
+                "planner: planned group {group} with {} members",
                 members.len()
             );
         }
         TimelineEvent::GroupEnded { group, why, .. } => {
-            log::info!("planner: group {group} ended: {why:?}");
+            log::info!("planner: ended group {group}: {why:?}");
         }
         _ => {}
     }
--- a/crates/thistlesill-planner/src/lib.rs
+++ b/crates/thistlesill-planner/src/lib.rs
@@ -1,4 +1,4 @@
-//! The planner daemon: watches targets, holds halls' leases, forms groups
-//! and gives orders.
+//! The planner daemon, which watches targets, holds the leases of halls, forms groups and sends
+//! orders.
 
 pub mod daemon;
--- a/crates/thistlesill-planner/src/main.rs
+++ b/crates/thistlesill-planner/src/main.rs
@@ -1,6 +1,6 @@
-//! Starts a planner.
+//! The planner program.
 //!
-//! The type of the command line is generated from its description below.
+//! The type of the command line is generated from the description below.
 #![allow(missing_docs)]
 
 use std::path::PathBuf;
@@ -10,13 +10,13 @@
 use thistlesill_net::launch::launch;
 
 xflags::xflags! {
-    /// Watches targets, forms groups and gives orders.
+    /// Watches targets, forms groups and sends orders.
     ///
     /// Example: thistlesill-planner concord-p1.jsonc
     cmd thistlesill-planner {
         /// The daemon's settings, JSON with comments.
         required config: PathBuf
-        /// Check the settings, say what is wrong, and exit.
+        /// Check the settings, print what is wrong, and exit.
         optional --check
     }
 }
