--- a/crates/thistlesill-cli/src/client.rs
+++ b/crates/thistlesill-cli/src/client.rs
@@ -1,4 +1,4 @@
-//! Reaching the platform and the daemons.
+//! The client of a fleet's platform and daemons.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -16,39 +16,38 @@
 
 use crate::failure::{Failure, FileSnafu, UnreachableSnafu};
 
-/// Time for a call of a daemon.
-const LIMIT: Duration = Duration::from_secs(5);
+const DAEMON_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The file with the fleet's addresses.
+/// The content of the file with the fleet's addresses.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetAddresses {
-    /// The platform's service.
+    /// The address of the platform's services.
     pub platform: SocketAddr,
-    /// File with the operators' token.
+    /// The file with the operators' token.
     pub token_file: PathBuf,
-    /// The daemons.
+    /// The fleet's daemons.
     pub daemons: Vec<DaemonAddress>,
 }
 
-/// Where a daemon answers operators.
+/// The address of a daemon's interface for operators.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DaemonAddress {
-    /// Its name.
+    /// The daemon's name.
     pub name: NodeId,
-    /// What it does.
+    /// The daemon's role.
     pub role: Role,
-    /// The address.
+    /// The address of the operators' interface.
     pub admin: SocketAddr,
 }
 
-/// A daemon's answer, or why there is none.
+/// The answer of one daemon, or the error of the call.
 #[derive(Debug)]
 pub struct Answer<T> {
-    /// The daemon.
+    /// The daemon's name.
     pub name: NodeId,
-    /// Its answer.
+    /// The decoded answer.
     pub result: Result<T, HttpError>,
 }
 
@@ -58,16 +57,17 @@
     addresses: FleetAddresses,
     token: String,
     http: HttpClient,
-    /// The platform's service.
+    /// The client of the platform's services.
     pub platform: Platform,
 }
 
 impl Client {
-    /// Reads the fleet's addresses and the token.
+    /// Reads the fleet's addresses from a file, and the operators' token from the file that it
+    /// names.
     ///
     /// # Errors
     ///
-    /// [`Failure::File`].
+    /// [`Failure::File`] if one of the files cannot be used.
     pub fn open(path: &Path) -> Result<Self, Failure> {
         let addresses: FleetAddresses = read_jsonc(path).context(FileSnafu)?;
         let token = read_secret(&addresses.token_file).context(FileSnafu)?;
@@ -79,7 +79,7 @@
         })
     }
 
-    /// The daemons of a role, or all.
+    /// Returns the daemons of a role, or all.
     pub fn daemons(&self, role: Option<Role>) -> Vec<DaemonAddress> {
         let all = self.addresses.daemons.iter();
         all.filter(|d| role.is_none_or(|r| d.role == r))
@@ -87,7 +87,7 @@
             .collect()
     }
 
-    /// Asks a daemon.
+    /// Requests a path of a daemon and decodes the JSON answer.
     ///
     /// # Errors
     ///
@@ -100,10 +100,10 @@
         let head = Request::get(format!("http://{}{path}", daemon.admin));
         let head = head.header("authorization", format!("Bearer {}", self.token));
         let request = build_request(head, hyper::body::Bytes::new())?;
-        decode(&self.http.call(request, LIMIT).await?)
+        decode(&self.http.call(request, DAEMON_TIMEOUT).await?)
     }
 
-    /// Asks all daemons of a role.
+    /// Requests a path of all daemons of a role, or of all, one after the other.
     pub async fn get_all<T: DeserializeOwned>(
         &self,
         role: Option<Role>,
@@ -120,11 +120,11 @@
         answers
     }
 
-    /// Tells a daemon to stop without cutting off a request.
+    /// Asks a daemon to exit when its requests have ended.
     ///
     /// # Errors
     ///
-    /// [`Failure::NotFound`] for an unknown name, [`Failure::Unreachable`].
+    /// [`Failure::NotFound`] for an unknown name, [`Failure::Unreachable`] if the call fails.
     pub async fn drain(&self, name: &str) -> Result<(), Failure> {
         let daemons = self.daemons(None);
         let Some(daemon) = daemons.iter().find(|d| d.name.as_str() == name) else {
@@ -136,16 +136,16 @@
         let what = || format!("daemon {name}");
         let request = build_request(head, hyper::body::Bytes::new())
             .with_context(|_| UnreachableSnafu { what: what() })?;
-        let answer = self.http.call(request, LIMIT).await;
+        let answer = self.http.call(request, DAEMON_TIMEOUT).await;
         answer.with_context(|_| UnreachableSnafu { what: what() })?;
         Ok(())
     }
 }
 
-/// The failure for a name that is not known, with the nearest that is.
+/// Returns the failure for an unknown name, with the most similar known name as a hint.
 pub fn not_found<'a>(what: &str, name: &str, known: impl IntoIterator<Item = &'a str>) -> Failure {
-    let near = thistlesill_core::suggest::nearest(name, known);
-    let hint = near.map_or(String::new(), |n| format!("; did you mean `{n}`?"));
+    let nearest = thistlesill_core::suggest::nearest(name, known);
+    let hint = nearest.map_or(String::new(), |n| format!("; did you mean `{n}`?"));
     Failure::NotFound {
         text: format!("no {what} `{name}`{hint}"),
     }
--- a/crates/thistlesill-cli/src/commands.rs
+++ b/crates/thistlesill-cli/src/commands.rs
@@ -1,4 +1,4 @@
-//! The commands.
+//! Implementations of the commands.
 
 mod fleet;
 mod losses;
@@ -13,17 +13,19 @@
 use crate::failure::Failure;
 use crate::flags::{ExplainCmd, SettingsCmd, Thistlesill, ThistlesillCmd};
 
-/// The file with the fleet's addresses, if none is named.
-const FLEET_FILE: &str = "thistlesill.jsonc";
+/// The default file with the fleet's addresses.
+const DEFAULT_FLEET_FILE: &str = "thistlesill.jsonc";
 
-/// Runs a command; returns what to print.
+/// Runs a command and returns the text to print.
 ///
 /// # Errors
 ///
-/// A [`Failure`] with its exit code.
+/// The [`Failure`] of the command, which has an exit code.
 pub async fn run(flags: Thistlesill) -> Result<String, Failure> {
     let json = flags.json;
-    let fleet = flags.fleet.unwrap_or_else(|| PathBuf::from(FLEET_FILE));
+    let fleet = flags
+        .fleet
+        .unwrap_or_else(|| PathBuf::from(DEFAULT_FLEET_FILE));
     let open = || Client::open(&fleet);
     match flags.subcommand {
         ThistlesillCmd::Settings(settings) => match settings.subcommand {
@@ -46,7 +48,7 @@
     }
 }
 
-/// A value as JSON text.
+/// Returns a value as indented JSON.
 fn to_json<T: Serialize>(value: &T) -> String {
     let text = serde_json::to_string_pretty(value);
     text.map(|t| t + "\n").unwrap_or_default()
--- a/crates/thistlesill-cli/src/commands/fleet.rs
+++ b/crates/thistlesill-cli/src/commands/fleet.rs
@@ -14,15 +14,15 @@
 use crate::failure::Failure;
 use crate::report::TextTable;
 
-/// The halls' plans, each from the planner that holds its lease.
+/// Returns the plan of each hall, from the planner that holds the hall's lease if one answers.
 async fn plans(client: &Client) -> Result<Vec<HallInfo>, Failure> {
     let answers: Vec<Answer<Vec<HallInfo>>> =
         client.get_all(Some(Role::Planner), "/admin/groups").await;
     let mut found: BTreeMap<String, HallInfo> = BTreeMap::new();
-    let mut heard = false;
+    let mut answered = false;
     for answer in answers {
         let Ok(halls) = answer.result else { continue };
-        heard = true;
+        answered = true;
         for hall in halls {
             let known = found.get(hall.hall.as_str());
             if known.is_none_or(|k| !k.holding) {
@@ -30,32 +30,32 @@
             }
         }
     }
-    if heard {
+    if answered {
         Ok(found.into_values().collect())
     } else {
-        Err(Failure::Nobody {
+        Err(Failure::NoAnswer {
             what: "planner".to_owned(),
         })
     }
 }
 
-async fn rosters(client: &Client) -> Vec<Answer<ServerList>> {
+async fn server_lists(client: &Client) -> Vec<Answer<ServerList>> {
     client.get_all(Some(Role::Router), "/admin/groups").await
 }
 
-/// At how many routers a group is whole.
-fn seen_whole(rosters: &[Answer<ServerList>], group: &GroupInfo) -> (usize, usize) {
-    let heard = rosters.iter().filter_map(|a| a.result.as_ref().ok());
-    let whole = heard.clone().filter(|r| {
+/// Returns the number of routers that see a group as complete, and of those that answered.
+fn count_complete(server_lists: &[Answer<ServerList>], group: &GroupInfo) -> (usize, usize) {
+    let answered = server_lists.iter().filter_map(|a| a.result.as_ref().ok());
+    let complete = answered.clone().filter(|r| {
         let mut servers = r.servers.iter();
         servers.any(|s| s.key.group == group.group && s.key.epoch == group.epoch)
     });
-    (whole.count(), heard.count())
+    (complete.count(), answered.count())
 }
 
 pub(super) async fn groups(client: &Client, json: bool) -> Result<String, Failure> {
     let plans = plans(client).await?;
-    let rosters = rosters(client).await;
+    let server_lists = server_lists(client).await;
     if json {
         return Ok(to_json(&plans));
     }
@@ -63,7 +63,7 @@
         "group", "domain", "state", "size", "model", "version", "adapters", "whole at",
     ]);
     for group in plans.iter().flat_map(|p| &p.groups) {
-        let (whole, heard) = seen_whole(&rosters, group);
+        let (complete, answered) = count_complete(&server_lists, group);
         table = table.row(vec![
             group.group.to_string(),
             group.domain.to_string(),
@@ -72,7 +72,7 @@
             group.load.model.to_string(),
             group.load.version.to_string(),
             group.load.adapters.len().to_string(),
-            format!("{whole} of {heard} routers"),
+            format!("{complete} of {answered} routers"),
         ]);
     }
     let mut out = table.to_string();
@@ -90,7 +90,7 @@
         .get_all(Some(Role::Planner), "/admin/instances")
         .await;
     let Some(list) = answers.into_iter().find_map(|a| a.result.ok()) else {
-        return Err(Failure::Nobody {
+        return Err(Failure::NoAnswer {
             what: "planner".to_owned(),
         });
     };
@@ -139,7 +139,7 @@
             "planners": planners.iter().map(planner).collect::<Vec<_>>(),
         })));
     }
-    let mut table = TextTable::new(&[
+    let mut router_table = TextTable::new(&[
         "router",
         "settings",
         "under way",
@@ -159,9 +159,9 @@
             ],
             Err(error) => vec![answer.name.to_string(), error.to_string()],
         };
-        table = table.row(cells);
+        router_table = router_table.row(cells);
     }
-    let mut second = TextTable::new(&["planner", "settings", "watches", "holds"]);
+    let mut planner_table = TextTable::new(&["planner", "settings", "watches", "holds"]);
     for answer in &planners {
         let cells = match &answer.result {
             Ok(s) => vec![
@@ -176,9 +176,9 @@
             ],
             Err(error) => vec![answer.name.to_string(), error.to_string()],
         };
-        second = second.row(cells);
+        planner_table = planner_table.row(cells);
     }
-    Ok(format!("{table}\n{second}"))
+    Ok(format!("{router_table}\n{planner_table}"))
 }
 
 pub(super) async fn drain(client: &Client, name: &str, json: bool) -> Result<String, Failure> {
@@ -192,7 +192,7 @@
 
 pub(super) async fn explain(client: &Client, name: &str, json: bool) -> Result<String, Failure> {
     let plans = plans(client).await?;
-    let rosters = rosters(client).await;
+    let server_lists = server_lists(client).await;
     let all: Vec<&GroupInfo> = plans.iter().flat_map(|p| &p.groups).collect();
     let Some(group) = all.iter().find(|g| g.group.as_str() == name) else {
         return Err(not_found(
@@ -204,9 +204,9 @@
     if json {
         return Ok(to_json(group));
     }
-    let (whole, heard) = seen_whole(&rosters, group);
+    let (complete, answered) = count_complete(&server_lists, group);
     let mut out = format!(
-        "{name}: epoch {}, {} instances of {}, {}\n  runs {} {} with {} adapters\n  whole at {whole} of {heard} routers\n",
+        "{name}: epoch {}, {} instances of {}, {}\n  runs {} {} with {} adapters\n  whole at {complete} of {answered} routers\n",
         group.epoch,
         group.members.len(),
         group.domain,
@@ -221,21 +221,21 @@
     for wait in &group.waits {
         out.push_str(&format!("  {wait}\n"));
     }
-    for answer in &rosters {
-        let Ok(roster) = &answer.result else { continue };
-        let lacking = roster
+    for answer in &server_lists {
+        let Ok(list) = &answer.result else { continue };
+        let incomplete = list
             .incomplete
             .iter()
             .filter(|i| i.key.group == group.group);
-        for lack in lacking.flat_map(|i| &i.lacks) {
-            out.push_str(&format!("  {}: {}\n", answer.name, lack_text(lack)));
+        for reason in incomplete.flat_map(|i| &i.lacks) {
+            out.push_str(&format!("  {}: {}\n", answer.name, reason_text(reason)));
         }
     }
     Ok(out)
 }
 
-fn lack_text(lack: &IncompleteReason) -> String {
-    match lack {
+fn reason_text(reason: &IncompleteReason) -> String {
+    match reason {
         IncompleteReason::Unreported { rank } => format!("no member reports rank {rank}"),
         IncompleteReason::Loading { instance } => format!("{instance} loads weights"),
         IncompleteReason::Draining { instance } => format!("{instance} takes nothing new"),
--- a/crates/thistlesill-cli/src/commands/losses.rs
+++ b/crates/thistlesill-cli/src/commands/losses.rs
@@ -10,8 +10,8 @@
 use crate::failure::{Failure, FileSnafu};
 use crate::losses::read;
 
-/// Reads the lines of daemons from files, or else from standard input, and tells why
-/// requests were late or not served. Bytes that are no text are replaced.
+/// Reads log lines of daemons from files, or from standard input without any, and shows why
+/// requests were late or not served. Bytes that are not UTF-8 are replaced.
 pub(super) fn show(files: &[PathBuf], json: bool) -> Result<String, Failure> {
     let mut bytes = Vec::new();
     if files.is_empty() {
--- a/crates/thistlesill-cli/src/commands/settings.rs
+++ b/crates/thistlesill-cli/src/commands/settings.rs
@@ -10,13 +10,13 @@
 
 use super::to_json;
 use crate::client::Client;
-use crate::edit::{self, Current, Outcome, Wish};
+use crate::edit::{self, Current, EditRequest, Outcome};
 use crate::failure::{Failure, UnreachableSnafu};
 use crate::flags::{Check, Diff, Get, History, Put};
 use crate::report::TextTable;
 
-/// Edits that `history` lists if not told.
-const LAST: usize = 20;
+/// The default number of edits that `history` lists.
+const DEFAULT_HISTORY: usize = 20;
 
 pub(super) fn check(args: &Check, json: bool) -> Result<String, Failure> {
     let file = read(&args.file)?;
@@ -32,15 +32,15 @@
     let file = read(&args.file)?;
     let current = current(client).await?;
     let Some(base) = file.revision.or((current.head_version == 0).then_some(0)) else {
-        return Err(Failure::Wrong {
+        return Err(Failure::InvalidInput {
             text: format!(
-                "{}: `revision` is missing: it says which revision the file was made from; \
-                 take the file from `settings get`",
+                "{}: `revision` is missing; it names the revision that the file was made from: \
+                 start from the output of `settings get`",
                 args.file.display()
             ),
         });
     };
-    let wish = Wish {
+    let request = EditRequest {
         base,
         branches: file.branches,
         edit: RequestId::new(rand::rng().random()),
@@ -48,19 +48,19 @@
         note: args.note.clone().unwrap_or_default(),
         rebase: args.rebase,
     };
-    let outcome = edit::put(&client.platform, &wish).await;
+    let outcome = edit::put(&client.platform, &request).await;
     let outcome = outcome.context(UnreachableSnafu { what: "platform" })?;
-    told(outcome, base, json)
+    report(outcome, base, json)
 }
 
-fn told(outcome: Outcome, base: u64, json: bool) -> Result<String, Failure> {
+fn report(outcome: Outcome, base: u64, json: bool) -> Result<String, Failure> {
     match outcome {
         Outcome::Accepted { revision, changes } => Ok(if json {
             to_json(&json!({"revision": revision, "changes": changes.changes}))
         } else {
             format!("revision {revision} accepted\n{}", describe(&changes))
         }),
-        Outcome::Nothing { revision } => Ok(if json {
+        Outcome::Unchanged { revision } => Ok(if json {
             to_json(&json!({"revision": revision, "changes": {}}))
         } else {
             format!("nothing to change; revision {revision} is in force\n")
@@ -72,22 +72,22 @@
         } => Err(Failure::Conflict {
             text: conflict(base, revision, &theirs, &both),
         }),
-        Outcome::Unsound { faults } => Err(Failure::Wrong {
-            text: faults.join("\n"),
+        Outcome::Invalid { errors } => Err(Failure::InvalidInput {
+            text: errors.join("\n"),
         }),
         Outcome::Unknown => Err(Failure::Unknown),
     }
 }
 
 fn conflict(base: u64, revision: u64, theirs: &TreeDiff, both: &[String]) -> String {
-    let way_out = if both.is_empty() {
+    let advice = if both.is_empty() {
         "no branch was changed by both: `--rebase` carries your changes over".to_owned()
     } else {
         format!("changed by both: {}", both.join(", "))
     };
     format!(
         "conflict: the file was made from revision {base}, {revision} is in force\n\
-         changed since:\n{}{way_out}",
+         changed since:\n{}{advice}",
         describe(theirs)
     )
 }
@@ -145,7 +145,7 @@
 ) -> Result<String, Failure> {
     let current = current(client).await?;
     let newest = current.edits.iter().rev();
-    let list: Vec<_> = newest.take(args.last.unwrap_or(LAST)).collect();
+    let list: Vec<_> = newest.take(args.last.unwrap_or(DEFAULT_HISTORY)).collect();
     if json {
         return Ok(to_json(&list));
     }
@@ -176,10 +176,10 @@
 
 fn read(path: &Path) -> Result<TreeFile, Failure> {
     let name = path.display().to_string();
-    let text = std::fs::read_to_string(path).map_err(|e| Failure::Wrong {
+    let text = std::fs::read_to_string(path).map_err(|e| Failure::InvalidInput {
         text: format!("{name}: {e}"),
     })?;
-    parse_file(&name, &text).map_err(|errors| Failure::Wrong {
+    parse_file(&name, &text).map_err(|errors| Failure::InvalidInput {
         text: errors
             .iter()
             .map(ToString::to_string)
@@ -200,7 +200,7 @@
     diff.changes.iter().map(line).collect()
 }
 
-/// The changes value by value.
+/// Describes the changes of each branch, value by value.
 fn describe_against(diff: &TreeDiff, current: &Current) -> String {
     let mut out = String::new();
     for (path, change) in &diff.changes {
--- a/crates/thistlesill-cli/src/commands/timeline.rs
+++ b/crates/thistlesill-cli/src/commands/timeline.rs
@@ -10,22 +10,22 @@
 use crate::flags::Timeline;
 use crate::picture;
 
-/// Events shown if not told.
-const LAST: usize = 200;
+/// The default number of events that are shown.
+const DEFAULT_EVENTS: usize = 200;
 
-/// The events of all daemons that answer, in one order.
+/// Returns the events of all daemons that answer, ordered by timestamp.
 async fn merged(client: &Client) -> Result<Vec<Record>, Failure> {
     let answers: Vec<Answer<Vec<Record>>> = client.get_all(None, "/admin/timeline").await;
     let mut records = Vec::new();
-    let mut heard = false;
+    let mut answered = false;
     for answer in answers {
         if let Ok(list) = answer.result {
-            heard = true;
+            answered = true;
             records.extend(list);
         }
     }
-    if !heard {
-        return Err(Failure::Nobody {
+    if !answered {
+        return Err(Failure::NoAnswer {
             what: "daemon".to_owned(),
         });
     }
@@ -34,8 +34,8 @@
 }
 
 fn parse(id: &str) -> Result<RequestId, Failure> {
-    id.parse().map_err(|_| Failure::Wrong {
-        text: format!("`{id}` is no request id: 32 hexadecimal digits"),
+    id.parse().map_err(|_| Failure::InvalidInput {
+        text: format!("`{id}` is not a request id, which has 32 hexadecimal digits"),
     })
 }
 
@@ -47,10 +47,12 @@
     if let Some(name) = &args.group {
         records.retain(|r| r.what.group().is_some_and(|g| g.as_str() == name));
     }
-    let skip = records.len().saturating_sub(args.last.unwrap_or(LAST));
+    let skip = records
+        .len()
+        .saturating_sub(args.last.unwrap_or(DEFAULT_EVENTS));
     let records = &records[skip..];
     if let Some(path) = &args.svg {
-        std::fs::write(path, picture::svg(records)).map_err(|e| Failure::Wrong {
+        std::fs::write(path, picture::svg(records)).map_err(|e| Failure::InvalidInput {
             text: format!("{}: {e}", path.display()),
         })?;
         return Ok(format!(
@@ -66,7 +68,8 @@
     Ok(text(records))
 }
 
-/// The events of a request, and how the groups it went to came about.
+/// Returns the events of a request, of the groups that the request was sent to, and the orders to
+/// the members of these groups.
 fn around_request(records: Vec<Record>, request: RequestId) -> Vec<Record> {
     let own = |r: &&Record| r.what.request() == Some(request);
     let groups: Vec<GroupId> = records
@@ -93,8 +96,8 @@
 }
 
 fn text(records: &[Record]) -> String {
-    let zero = records.first().map_or(0, |r| r.stamp.wall);
-    records.iter().map(|r| line(r, zero) + "\n").collect()
+    let start = records.first().map_or(0, |r| r.stamp.wall);
+    records.iter().map(|r| line(r, start) + "\n").collect()
 }
 
 pub(super) async fn explain(client: &Client, id: &str, json: bool) -> Result<String, Failure> {
@@ -103,17 +106,17 @@
     records.retain(|r| r.what.request() == Some(request));
     if records.is_empty() {
         return Err(Failure::NotFound {
-            text: format!("no daemon remembers request {id}"),
+            text: format!("no daemon has events of request {id}"),
         });
     }
     if json {
         return Ok(to_json(&records));
     }
-    Ok(format!("{}{}\n", text(&records), verdict(&records)))
+    Ok(format!("{}{}\n", text(&records), summary(&records)))
 }
 
-/// How a request ended, in words.
-fn verdict(records: &[Record]) -> String {
+/// Returns how often a request was sent and how it ended, as a sentence.
+fn summary(records: &[Record]) -> String {
     let sends = records
         .iter()
         .filter(|r| matches!(r.what, TimelineEvent::Sent { .. }))
--- a/crates/thistlesill-cli/src/edit.rs
+++ b/crates/thistlesill-cli/src/edit.rs
@@ -1,5 +1,5 @@
-//! Edits of the tree of settings: one transaction each, conditional on the
-//! revision that the edit was made from.
+//! Edits of the settings tree: one transaction each, conditional on the revision that the edit was
+//! made from or rebased to.
 
 use std::collections::BTreeMap;
 
@@ -13,71 +13,71 @@
 use thistlesill_net::platform::Platform;
 use thistlesill_net::sync::tree_from_rows;
 
-/// Tries of a transaction whose answer is lost.
-const TRIES: u32 = 4;
+/// The number of attempts of an edit whose transaction was refused or not answered.
+const MAX_ATTEMPTS: u32 = 4;
 
-/// The tree in force with the versions that guard it.
+/// The tree in force, with the row version that a transaction is conditional on.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Current {
     /// The tree; empty at revision 0 if there is none yet.
     pub tree: Tree,
     /// The version of the head's row; 0 for none.
     pub head_version: u64,
-    /// The edits, the oldest first.
+    /// The accepted edits, oldest first.
     pub edits: Vec<EditRow>,
 }
 
-/// What an edit wants to do.
+/// An edit to be put in force.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Wish {
-    /// The revision that it was made from.
+pub struct EditRequest {
+    /// The revision that the edit was made from.
     pub base: u64,
-    /// The whole tree that it wants.
+    /// The complete tree after the edit.
     pub branches: BTreeMap<String, Branch>,
-    /// Names the edit.
+    /// The id of the edit, by which a retry finds it accepted.
     pub edit: RequestId,
-    /// Who.
+    /// The editor's name, for the history.
     pub editor: String,
-    /// Why.
+    /// The reason for the edit, for the history.
     pub note: String,
     /// Whether to carry the changes over to the revision in force.
     pub rebase: bool,
 }
 
-/// What became of an edit.
+/// The result of an edit.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Outcome {
-    /// It is in force.
+    /// The edit is in force.
     Accepted {
-        /// Its revision.
+        /// The revision of the edit.
         revision: u64,
-        /// What it changed.
+        /// The changes of the edit.
         changes: TreeDiff,
     },
-    /// It would change nothing.
-    Nothing {
+    /// The edit would change nothing.
+    Unchanged {
         /// The revision in force.
         revision: u64,
     },
-    /// Others changed the tree first.
+    /// Another edit changed the tree first.
     Conflict {
         /// The revision in force.
         revision: u64,
-        /// What others changed since the base.
+        /// The changes of others since the base.
         theirs: TreeDiff,
-        /// The branches that both changed.
+        /// The paths of the branches that both changed.
         both: Vec<String>,
     },
-    /// The tree after the rebase does not pass its check.
-    Unsound {
-        /// What is wrong.
-        faults: Vec<String>,
+    /// The tree after the edit does not pass its check.
+    Invalid {
+        /// The errors that the check found.
+        errors: Vec<String>,
     },
-    /// It is not known whether it took effect.
+    /// It is not known whether the edit took effect.
     Unknown,
 }
 
-/// Reads the tree in force.
+/// Reads the tree in force and its accepted edits.
 ///
 /// # Errors
 ///
@@ -87,7 +87,7 @@
     Ok(current_of(&platform.read(prefixes).await?))
 }
 
-/// The tree in force from its rows.
+/// Builds the tree in force from the rows of one read.
 pub fn current_of(rows: &Rows) -> Current {
     let edits = rows.rows.iter().filter(|r| r.key.starts_with(EDIT_PREFIX));
     Current {
@@ -97,7 +97,7 @@
     }
 }
 
-/// The tree as it was at a revision.
+/// Returns the tree as it was at a revision, by undoing the later edits.
 pub fn tree_at(current: &Current, revision: u64) -> Tree {
     let later = current.edits.iter().rev();
     let mut tree = current.tree.clone();
@@ -115,10 +115,10 @@
 /// # Errors
 ///
 /// Any [`HttpError`] of reading the tree; the edit then did not take effect.
-pub async fn put(platform: &Platform, wish: &Wish) -> Result<Outcome, HttpError> {
+pub async fn put(platform: &Platform, request: &EditRequest) -> Result<Outcome, HttpError> {
     let mut current = read(platform).await?;
-    for _ in 0..TRIES {
-        if let Some(edit) = current.edits.iter().find(|e| e.edit == wish.edit) {
+    for _ in 0..MAX_ATTEMPTS {
+        if let Some(edit) = current.edits.iter().find(|e| e.edit == request.edit) {
             return Ok(Outcome::Accepted {
                 revision: edit.revision,
                 changes: TreeDiff {
@@ -126,16 +126,19 @@
                 },
             });
         }
-        let changes = match plan(&current, wish) {
+        let changes = match plan(&current, request) {
             Ok(changes) => changes,
             Err(outcome) => return Ok(*outcome),
         };
         let revision = current.tree.revision() + 1;
-        let result = platform.txn(&transaction(&current, wish, &changes)).await;
+        let result = platform
+            .txn(&transaction(&current, request, &changes))
+            .await;
         if let TxnResult::Replied(TxnReply::Committed { .. }) = result {
             return Ok(Outcome::Accepted { revision, changes });
         }
-        // Refused or not answered: the table says which.
+        // The transaction was refused or not answered: reading the table tells whether the edit
+        // took effect.
         match read(platform).await {
             Ok(rows) => current = rows,
             Err(_) if result == TxnResult::Unknown => return Ok(Outcome::Unknown),
@@ -145,16 +148,16 @@
     Ok(Outcome::Unknown)
 }
 
-/// What an edit changes in the tree in force, or why it cannot.
+/// Returns the changes that an edit makes to the tree in force.
 ///
 /// # Errors
 ///
-/// The [`Outcome`] that ends the edit.
-pub fn plan(current: &Current, wish: &Wish) -> Result<TreeDiff, Box<Outcome>> {
+/// The [`Outcome`] of an edit that conflicts, changes nothing or leads to an invalid tree.
+pub fn plan(current: &Current, request: &EditRequest) -> Result<TreeDiff, Box<Outcome>> {
     let revision = current.tree.revision();
-    let base = tree_at(current, wish.base);
-    let mine = base.diff(&wish.branches);
-    if wish.base != revision {
+    let base = tree_at(current, request.base);
+    let mine = base.diff(&request.branches);
+    if request.base != revision {
         let theirs = base.diff(current.tree.branches());
         let both: Vec<String> = mine
             .changes
@@ -162,7 +165,7 @@
             .filter(|path| theirs.changes.contains_key(*path))
             .cloned()
             .collect();
-        if !wish.rebase || !both.is_empty() {
+        if !request.rebase || !both.is_empty() {
             return Err(Box::new(Outcome::Conflict {
                 revision,
                 theirs,
@@ -171,19 +174,19 @@
         }
     }
     if mine.changes.is_empty() {
-        return Err(Box::new(Outcome::Nothing { revision }));
+        return Err(Box::new(Outcome::Unchanged { revision }));
     }
     let next = current.tree.apply(revision + 1, &mine);
-    let faults = check(next.branches());
-    if faults.is_empty() {
+    let errors = check(next.branches());
+    if errors.is_empty() {
         Ok(mine)
     } else {
-        let faults = faults.iter().map(ToString::to_string).collect();
-        Err(Box::new(Outcome::Unsound { faults }))
+        let errors = errors.iter().map(ToString::to_string).collect();
+        Err(Box::new(Outcome::Invalid { errors }))
     }
 }
 
-fn transaction(current: &Current, wish: &Wish, diff: &TreeDiff) -> Txn {
+fn transaction(current: &Current, request: &EditRequest, diff: &TreeDiff) -> Txn {
     let revision = current.tree.revision() + 1;
     let old = current.tree.branches();
     let before = diff
@@ -192,9 +195,9 @@
         .map(|p| (p.clone(), old.get(p).cloned()));
     let edit = EditRow {
         revision,
-        edit: wish.edit,
-        editor: wish.editor.clone(),
-        note: wish.note.clone(),
+        edit: request.edit,
+        editor: request.editor.clone(),
+        note: request.note.clone(),
         changes: diff.changes.clone(),
         before: before.collect(),
     };
--- a/crates/thistlesill-cli/src/explain.rs
+++ b/crates/thistlesill-cli/src/explain.rs
@@ -1,8 +1,8 @@
-//! Sentences that say why things are as they are.
+//! Descriptions of timeline events in words.
 
 use thistlesill_core::timeline::{Record, TimelineEvent};
 
-/// One event as a sentence.
+/// Returns a description of an event that follows its daemon's name.
 pub fn sentence(what: &TimelineEvent) -> String {
     match what {
         TimelineEvent::Started => "started".to_owned(),
@@ -55,8 +55,8 @@
     }
 }
 
-/// An event as a line of text, with its time relative to `zero`.
-pub fn line(record: &Record, zero: u64) -> String {
-    let at = record.stamp.wall.saturating_sub(zero);
+/// Returns an event as a line of text, with its time relative to `start`.
+pub fn line(record: &Record, start: u64) -> String {
+    let at = record.stamp.wall.saturating_sub(start);
     format!("{at:>8} ms  {:<14} {}", record.node, sentence(&record.what))
 }
--- a/crates/thistlesill-cli/src/failure.rs
+++ b/crates/thistlesill-cli/src/failure.rs
@@ -1,4 +1,4 @@
-//! How a command fails, and with which exit code.
+//! Failures of commands and their exit codes.
 
 use std::process::ExitCode;
 
@@ -6,28 +6,28 @@
 use thistlesill_net::files::FileError;
 use thistlesill_net::http::HttpError;
 
-/// Why a command failed.
+/// The reason why a command failed.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Failure {
-    /// Something could not be reached or answered with an error. Exit code 1.
+    /// The platform or a daemon could not be reached or answered with an error. Exit code 1.
     #[snafu(display("{what}: {source}"))]
     Unreachable {
-        /// What.
+        /// The name of the platform or daemon.
         what: String,
         /// The cause.
         source: HttpError,
     },
     /// No daemon answered. Exit code 1.
     #[snafu(display("no {what} answered"))]
-    Nobody {
-        /// Which daemons.
+    NoAnswer {
+        /// The kind of daemon.
         what: String,
     },
-    /// Nothing of that name is known. Exit code 1.
+    /// A name or request id is unknown. Exit code 1.
     #[snafu(display("{text}"))]
     NotFound {
-        /// What, and what is near it.
+        /// The unknown name, and the most similar known one.
         text: String,
     },
     /// A file could not be used. Exit code 2.
@@ -36,16 +36,16 @@
         /// The cause.
         source: FileError,
     },
-    /// Settings do not pass their check, or words are wrong. Exit code 2.
+    /// Settings do not pass their check, or an argument or its file cannot be used. Exit code 2.
     #[snafu(display("{text}"))]
-    Wrong {
-        /// What, and what would be right.
+    InvalidInput {
+        /// The mistake, and what would be allowed.
         text: String,
     },
     /// Another edit came first. Exit code 3.
     #[snafu(display("{text}"))]
     Conflict {
-        /// What changed since.
+        /// The changes since the edit's base.
         text: String,
     },
     /// It is not known whether the edit took effect. Exit code 4.
@@ -56,11 +56,11 @@
 }
 
 impl Failure {
-    /// The exit code.
+    /// Returns the exit code of the program.
     pub const fn code(&self) -> u8 {
         match self {
-            Self::Unreachable { .. } | Self::Nobody { .. } | Self::NotFound { .. } => 1,
-            Self::File { .. } | Self::Wrong { .. } => 2,
+            Self::Unreachable { .. } | Self::NoAnswer { .. } | Self::NotFound { .. } => 1,
+            Self::File { .. } | Self::InvalidInput { .. } => 2,
             Self::Conflict { .. } => 3,
             Self::Unknown => 4,
         }
--- a/crates/thistlesill-cli/src/flags.rs
+++ b/crates/thistlesill-cli/src/flags.rs
@@ -10,8 +10,8 @@
 xflags::xflags! {
     /// The operators' client of a thistlesill fleet.
     ///
-    /// Exit codes: 0 done, 1 not reachable or not found, 2 wrong words or
-    /// settings, 3 another edit came first, 4 not known whether an edit took
+    /// Exit codes: 0 success, 1 not reachable or not found, 2 invalid arguments
+    /// or settings, 3 another edit came first, 4 not known whether an edit took
     /// effect.
     ///
     /// Examples:
@@ -28,28 +28,29 @@
         /// Print JSON.
         optional --json
 
-        /// The tree of settings.
+        /// Show, check and edit the tree of settings.
         cmd settings {
-            /// Check a file without touching the fleet.
+            /// Check a file without contacting the fleet.
             cmd check {
                 /// The file, JSON with comments.
                 required file: PathBuf
             }
-            /// Put a file in force, if nobody changed the tree meanwhile.
+            /// Put a file in force, unless the tree was changed meanwhile.
             cmd put {
-                /// The file; its `revision` says what it was made from.
+                /// The file; its `revision` is the one that it was made from.
                 required file: PathBuf
-                /// Why, for the history.
+                /// The reason, for the history.
                 optional --note text: String
-                /// Who, for the history.
+                /// The editor's name, for the history (default: $USER).
                 optional --editor name: String
                 /// Carry the changes over to the revision in force, if they
                 /// touch no branch that others changed.
                 optional --rebase
             }
-            /// Print the tree in force, or the values that hold somewhere.
+            /// Print the tree in force, or the values that apply to a scope.
             cmd get {
-                /// Print the values that hold in a place, with the branch of each.
+                /// Print the values that apply to the scope given by the flags
+                /// below, with the branch that sets each.
                 optional --resolved
                 /// The region.
                 optional --region name: String
@@ -62,34 +63,35 @@
                 /// The customer.
                 optional --customer name: String
             }
-            /// Say what a file would change.
+            /// Show what a file would change.
             cmd diff {
                 /// The file.
                 required file: PathBuf
             }
             /// List the accepted edits.
             cmd history {
-                /// How many, the newest first (default: 20).
+                /// The number of edits, newest first (default: 20).
                 optional --last count: usize
             }
         }
-        /// The groups, as planned and as the routers see them.
+        /// List the groups, as planned and as the routers see them.
         cmd groups {}
-        /// The instances, as the planners see them.
+        /// List the instances, as the planners see them.
         cmd instances {}
-        /// The daemons and what is in force at each.
+        /// Show the daemons and the settings revision of each.
         cmd status {}
-        /// Say why something is as it is.
+        /// Explain a request, late answers, or a group.
         cmd explain {
             /// Why a request went where it went and ended as it did.
             cmd request {
                 /// The request's id, from the answer's x-request-id.
                 required id: String
             }
-            /// Why callers were served late or not at all, by the lines of edge daemons.
+            /// Why callers were served late or not at all, from the log lines of edge
+            /// daemons.
             cmd losses {
-                /// Files with the lines of any number of daemons; without any, standard
-                /// input.
+                /// Files with log lines of any number of daemons (default: standard
+                /// input).
                 repeated files: PathBuf
             }
             /// Why a group was formed, and what it waits for.
@@ -98,18 +100,18 @@
                 required name: String
             }
         }
-        /// The events of all daemons in one order.
+        /// Show the events of all daemons in one order.
         cmd timeline {
-            /// Only those of a request.
+            /// Only events of a request and of the groups that it was sent to.
             optional --request id: String
-            /// Only those of a group.
+            /// Only events of a group.
             optional --group name: String
-            /// Only the last so many (default: 200).
+            /// The number of events, counted from the newest (default: 200).
             optional --last count: usize
-            /// Write a picture to a file instead.
+            /// Draw the events into an SVG file instead.
             optional --svg file: PathBuf
         }
-        /// Stop a daemon without cutting off a request.
+        /// Stop a daemon when its requests have ended.
         cmd drain {
             /// The daemon's name.
             required name: String
@@ -117,7 +119,7 @@
     }
 }
 
-/// All words of the command line, for suggestions.
+/// All subcommands and flags, for suggestions.
 pub const WORDS: &[&str] = &[
     "settings",
     "check",
@@ -152,12 +154,12 @@
     "--help",
 ];
 
-/// The nearest right word for a wrong one among the arguments, as a sentence.
+/// Returns a suggestion for the first unknown argument that resembles a subcommand or flag.
 pub fn hint(arguments: &[String]) -> Option<String> {
     let unknown = |a: &&String| !WORDS.contains(&a.as_str());
-    let plain = arguments.iter().filter(unknown);
-    plain
-        .filter_map(|word| nearest(word, WORDS.iter().copied()).map(|right| (word, right)))
-        .map(|(word, right)| format!("`{word}`: did you mean `{right}`?"))
+    let unknown_words = arguments.iter().filter(unknown);
+    unknown_words
+        .filter_map(|word| nearest(word, WORDS.iter().copied()).map(|known| (word, known)))
+        .map(|(word, known)| format!("`{word}`: did you mean `{known}`?"))
         .next()
 }
--- a/crates/thistlesill-cli/src/lib.rs
+++ b/crates/thistlesill-cli/src/lib.rs
@@ -1,4 +1,4 @@
-//! The operators' client: edits the settings, and shows what the fleet does.
+//! The operators' client, which edits the settings and shows the state of a fleet.
 
 pub mod client;
 pub mod commands;
--- a/crates/thistlesill-cli/src/losses.rs
+++ b/crates/thistlesill-cli/src/losses.rs
@@ -1,57 +1,57 @@
-//! Why callers were served late, or not at all, as the lines of edge daemons tell.
+//! Causes of late answers and of requests that were not served, from the log lines of edge daemons.
 //!
-//! Each request has one cause out of a closed list. Lines of all daemons go in together,
-//! in any order: what happened to a request before its last line is joined by its id.
+//! Each request has at most one cause, from a closed list. The lines of all daemons are read
+//! together, in any order: earlier events of a request are joined to its last line by the id.
 
 use std::collections::{BTreeMap, HashMap};
 use std::fmt;
 
 use serde::Serialize;
 
-/// Milliseconds of waiting before a refusal from which on the wait itself is the loss.
-const WAITED_MS: u64 = 50;
-/// Part of a pause for which the target must have been waited for; else the caller's
-/// connection took the rest.
-const TARGET_PART: f64 = 0.5;
+/// The shortest wait, before a refusal or before a request was sent, that counts as the cause.
+const MIN_WAIT_MS: u64 = 50;
+/// The part of a pause that must have been spent waiting for the target; otherwise the caller's
+/// connection is the cause.
+const MIN_TARGET_RATIO: f64 = 0.5;
 
-/// Why a request was served late or not at all.
+/// The cause for which a request was served late or not at all.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Cause {
-    /// Its daemon had no young proof of the keys, knew nothing yet, or was stopping.
+    /// The daemon had no recent proof of the keys, had no data yet, or was stopping.
     NotReady,
-    /// No group served its model.
+    /// No group served the model.
     NoGroup,
-    /// It was refused at once, since it would have begun too late.
+    /// The request was refused at once, because it would have started too late.
     Overloaded,
-    /// It was refused after it had waited.
+    /// The request was refused after it had waited.
     WaitedRefused,
-    /// Targets were lost under it one after the other, and it is withheld.
+    /// Several targets were lost while they ran the request, which is now withheld.
     Withheld,
-    /// Its target refused it without having run it.
+    /// The target refused the request without running it.
     TargetShed,
-    /// It was sent to a target that answered nothing, and went elsewhere afterwards.
+    /// The request was sent to a target that did not answer, and then to another one.
     SilentTarget,
-    /// Its target failed or its connection broke, and it went elsewhere afterwards.
+    /// The target failed or the connection to it broke, and the request was sent elsewhere.
     TargetFailed,
-    /// Its target was lost midway, and another one took the stream up.
+    /// The target was lost during the answer, and the stream was resumed at another one.
     TargetLost,
-    /// It was lost with its target: it may have run.
+    /// The request was lost with its target and may have run.
     Lost,
-    /// It waited at its daemon before it was sent.
+    /// The request waited at its daemon before it was sent.
     Waited,
-    /// Prompts before it were unread at its target.
+    /// Earlier prompts at the target were not prefilled yet.
     UnreadPrompts,
-    /// Its target was busy with others, or slow.
+    /// The target was busy with other requests, or slow.
     BusyTarget,
-    /// Its caller's connection took what it got too slowly.
+    /// The caller's connection accepted data too slowly.
     SlowCaller,
-    /// Its caller left.
+    /// The caller disconnected.
     CallerLeft,
 }
 
 impl Cause {
-    /// The name in tables.
+    /// Returns the cause's name in tables.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -80,40 +80,40 @@
     }
 }
 
-/// What became of the requests of one route.
+/// The results of the requests of one route.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct Route {
-    /// Requests that were answered, late or not.
+    /// The number of requests that were answered, late or not.
     pub answered: u64,
-    /// Those that were late or not served, by cause.
+    /// The number of requests that were late or not served, by cause.
     pub losses: BTreeMap<Cause, u64>,
 }
 
-/// What became of all requests.
+/// The results of all requests.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct Losses {
-    /// By route; what no route was found for is left out.
+    /// The results by route; requests without a route are left out.
     pub routes: BTreeMap<String, Route>,
-    /// Late or not served requests by the second in which they ended, of the day's time
-    /// in the lines, and by cause.
+    /// The number of late or not served requests, by the second in which they ended (from the
+    /// lines' time of day) and by cause.
     pub seconds: BTreeMap<u64, BTreeMap<Cause, u64>>,
-    /// Lines that could not be read.
+    /// The number of non-empty lines without an event name.
     pub unread: u64,
 }
 
-/// What is known of a request before its last line.
+/// The events of a request before its last line.
 #[derive(Debug, Clone, Copy, Default)]
-struct Before {
-    silent: bool,
+struct EarlierEvents {
+    unresponsive: bool,
     failed: bool,
     resumed: bool,
 }
 
-/// Reads the lines of daemons and finds the cause of each loss.
+/// Reads the log lines of daemons and counts the causes of late or not served requests.
 pub fn read<'a>(lines: impl Iterator<Item = &'a str>) -> Losses {
     let mut losses = Losses::default();
-    let mut before: HashMap<&str, Before> = HashMap::new();
-    let mut ends = Vec::new();
+    let mut earlier: HashMap<&str, EarlierEvents> = HashMap::new();
+    let mut last_lines = Vec::new();
     for line in lines {
         let fields = fields(line);
         let Some(event) = fields.get("ev") else {
@@ -125,26 +125,26 @@
         };
         match *event {
             "attempt_failed" => {
-                let known = before.entry(id).or_default();
-                let silent = fields.get("why").is_some_and(|w| w.contains("no answer"));
-                known.silent |= silent;
-                known.failed |= !silent;
+                let known = earlier.entry(id).or_default();
+                let unresponsive = fields.get("why").is_some_and(|w| w.contains("no answer"));
+                known.unresponsive |= unresponsive;
+                known.failed |= !unresponsive;
             }
-            "stream_resumed" => before.entry(id).or_default().resumed = true,
-            "request" => ends.push(fields),
+            "stream_resumed" => earlier.entry(id).or_default().resumed = true,
+            "request" => last_lines.push(fields),
             _ => {}
         }
     }
-    for end in ends {
-        let known = end.get("id").and_then(|id| before.get(id));
-        count(&mut losses, &end, known.copied().unwrap_or_default());
+    for last_line in last_lines {
+        let known = last_line.get("id").and_then(|id| earlier.get(id));
+        count(&mut losses, &last_line, known.copied().unwrap_or_default());
     }
     losses
 }
 
 type Fields<'a> = HashMap<&'a str, &'a str>;
 
-/// The `name=value` pairs of a line; a value in quotes may hold blanks.
+/// Returns the `name=value` pairs of a line; a value in quotes may contain blanks.
 fn fields(line: &str) -> Fields<'_> {
     let mut found = Fields::new();
     let mut rest = line;
@@ -160,37 +160,42 @@
     found
 }
 
-fn count(losses: &mut Losses, end: &Fields<'_>, before: Before) {
-    let Some(name) = end.get("route") else {
+fn count(losses: &mut Losses, last_line: &Fields<'_>, earlier: EarlierEvents) {
+    let Some(name) = last_line.get("route") else {
         return;
     };
-    let answered = end.get("outcome") == Some(&"answered");
-    let cause = cause(end, before);
+    let answered = last_line.get("outcome") == Some(&"answered");
+    let cause = cause(last_line, earlier);
     let route = losses.routes.entry((*name).to_owned()).or_default();
     route.answered += u64::from(answered);
     let Some(cause) = cause else {
         return;
     };
     *route.losses.entry(cause).or_default() += 1;
-    let second = end.get("t").and_then(|t| t.split('.').next()?.parse().ok());
+    let second = last_line
+        .get("t")
+        .and_then(|t| t.split('.').next()?.parse().ok());
     if let Some(second) = second {
         let causes = losses.seconds.entry(second).or_default();
         *causes.entry(cause).or_default() += 1;
     }
 }
 
-fn number(end: &Fields<'_>, name: &str) -> u64 {
-    end.get(name).and_then(|v| v.parse().ok()).unwrap_or(0)
+fn number(last_line: &Fields<'_>, name: &str) -> u64 {
+    last_line
+        .get(name)
+        .and_then(|v| v.parse().ok())
+        .unwrap_or(0)
 }
 
-/// Why a request was late or not served; `None` if it was in time, or was not to be
+/// Returns why a request was late or not served, or `None` if it was in time or was rightly not
 /// served.
-fn cause(end: &Fields<'_>, before: Before) -> Option<Cause> {
-    match *end.get("outcome")? {
-        "answered" => late_cause(end, before),
+fn cause(last_line: &Fields<'_>, earlier: EarlierEvents) -> Option<Cause> {
+    match *last_line.get("outcome")? {
+        "answered" => late_cause(last_line, earlier),
         "not_ready" => Some(Cause::NotReady),
         "no_group" => Some(Cause::NoGroup),
-        "overloaded" if number(end, "took_ms") >= WAITED_MS => Some(Cause::WaitedRefused),
+        "overloaded" if number(last_line, "took_ms") >= MIN_WAIT_MS => Some(Cause::WaitedRefused),
         "overloaded" => Some(Cause::Overloaded),
         "withheld" => Some(Cause::Withheld),
         "target_refused" => Some(Cause::TargetShed),
@@ -200,25 +205,25 @@
     }
 }
 
-fn late_cause(end: &Fields<'_>, before: Before) -> Option<Cause> {
-    let cause = match *end.get("late")? {
-        "first" if before.silent => Cause::SilentTarget,
-        "first" if before.failed => Cause::TargetFailed,
-        "first" if number(end, "sent_ms") >= WAITED_MS => Cause::Waited,
-        "first" if number(end, "sent_unread") > 0 => Cause::UnreadPrompts,
+fn late_cause(last_line: &Fields<'_>, earlier: EarlierEvents) -> Option<Cause> {
+    let cause = match *last_line.get("late")? {
+        "first" if earlier.unresponsive => Cause::SilentTarget,
+        "first" if earlier.failed => Cause::TargetFailed,
+        "first" if number(last_line, "sent_ms") >= MIN_WAIT_MS => Cause::Waited,
+        "first" if number(last_line, "sent_unread") > 0 => Cause::UnreadPrompts,
         "first" => Cause::BusyTarget,
-        _ if before.resumed || number(end, "resumes") > 0 => Cause::TargetLost,
-        _ if is_callers(end) => Cause::SlowCaller,
-        _ if number(end, "pause_unread") > 0 => Cause::UnreadPrompts,
+        _ if earlier.resumed || number(last_line, "resumes") > 0 => Cause::TargetLost,
+        _ if is_caller_slow(last_line) => Cause::SlowCaller,
+        _ if number(last_line, "pause_unread") > 0 => Cause::UnreadPrompts,
         _ => Cause::BusyTarget,
     };
     Some(cause)
 }
 
-/// Whether most of the longest pause was spent on the way to the caller.
-fn is_callers(end: &Fields<'_>) -> bool {
-    let waited = number(end, "pause_waited_ms") as f64;
-    waited < number(end, "pause_ms") as f64 * TARGET_PART
+/// Returns whether most of the longest pause was spent on sending to the caller.
+fn is_caller_slow(last_line: &Fields<'_>) -> bool {
+    let waited = number(last_line, "pause_waited_ms") as f64;
+    waited < number(last_line, "pause_ms") as f64 * MIN_TARGET_RATIO
 }
 
 impl fmt::Display for Losses {
--- a/crates/thistlesill-cli/src/main.rs
+++ b/crates/thistlesill-cli/src/main.rs
@@ -1,12 +1,12 @@
-//! The operators' client `thistlesill`.
+//! The operators' command-line client `thistlesill`.
 
 use std::process::ExitCode;
 
 use thistlesill_cli::commands::run;
 use thistlesill_cli::flags::{Thistlesill, hint};
 
-/// Exit code for wrong words.
-const WRONG_WORDS: u8 = 2;
+/// Exit code for invalid arguments.
+const INVALID_ARGUMENTS: u8 = 2;
 
 fn main() -> ExitCode {
     let flags = match Thistlesill::from_env() {
@@ -15,7 +15,7 @@
             println!("{error}");
             return ExitCode::SUCCESS;
         }
-        Err(error) => return wrong_words(&error),
+        Err(error) => return report_invalid_arguments(&error),
     };
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -33,12 +33,12 @@
     }
 }
 
-fn wrong_words(error: &xflags::Error) -> ExitCode {
+fn report_invalid_arguments(error: &xflags::Error) -> ExitCode {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     match hint(&arguments) {
         Some(hint) => eprintln!("thistlesill: {hint}"),
         None => eprintln!("thistlesill: {error}"),
     }
     eprintln!("try `thistlesill --help`");
-    ExitCode::from(WRONG_WORDS)
+    ExitCode::from(INVALID_ARGUMENTS)
 }
--- a/crates/thistlesill-cli/src/report.rs
+++ b/crates/thistlesill-cli/src/report.rs
@@ -1,13 +1,13 @@
-//! Tables of text for people.
+//! Text tables with aligned columns.
 
-/// A table with a head.
+/// A table whose first row is the heading.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct TextTable {
     rows: Vec<Vec<String>>,
 }
 
 impl TextTable {
-    /// A table with these columns.
+    /// Creates a table with the given column headings and no rows.
     pub fn new(head: &[&str]) -> Self {
         let head = head.iter().map(|h| (*h).to_owned()).collect();
         Self { rows: vec![head] }
--- a/crates/thistlesill-cli/tests/losses.rs
+++ b/crates/thistlesill-cli/tests/losses.rs
@@ -1,8 +1,8 @@
-//! The cause of each late or refused request, by the lines of daemons.
+//! Tests that each late or refused request gets the cause that the daemons' log lines show.
 
 use thistlesill_cli::losses::{Cause, read};
 
-/// The only loss of a request with these lines.
+/// Returns the cause of the only loss in `lines`, if there is one.
 fn cause(lines: &str) -> Option<Cause> {
     let losses = read(lines.lines());
     assert_eq!(losses.unread, 0, "{lines}");
@@ -11,6 +11,7 @@
     route.losses.keys().next().copied()
 }
 
+/// Returns the last line of a request, with the fields in `rest`.
 fn end(rest: &str) -> String {
     format!("t=100.250 ev=request id=a1 route=r {rest}")
 }
