--- a/crates/thistlesill-edge/src/daemon.rs
+++ b/crates/thistlesill-edge/src/daemon.rs
@@ -342,7 +342,7 @@
 /// The other side may have closed them meanwhile, which is not noticed on a connection that is
 /// not in use.
 fn handle_suspension(edge: &Edge) {
-    if let Some(time) = edge.alarm.look() {
+    if let Some(time) = edge.alarm.check_suspension() {
         edge.lanes.close_all_idle();
         edge.store.close_idle();
         let line = edge.lines.line("suspended").with("for_ms", time.get());
--- a/crates/thistlesill-edge/src/lanes.rs
+++ b/crates/thistlesill-edge/src/lanes.rs
@@ -5,7 +5,7 @@
 
 use thistlesill_core::Millis;
 use thistlesill_core::edge::{Target, TargetId};
-use thistlesill_net::lane::{Lane, LaneError};
+use thistlesill_net::lane::{ConnectionError, HttpConnection};
 use tokio::time::Instant;
 
 /// Maximum number of idle connections per target.
@@ -22,14 +22,14 @@
 
 #[derive(Debug)]
 struct Idle {
-    lane: Lane,
+    lane: HttpConnection,
     until: Millis,
 }
 
 /// A connection for one request.
 #[derive(Debug)]
 pub(crate) struct PooledLane {
-    pub(crate) lane: Lane,
+    pub(crate) lane: HttpConnection,
     /// Whether an earlier request used the connection, so that it may be dead without notice.
     pub(crate) reused: bool,
 }
@@ -42,7 +42,7 @@
 
 impl Lanes {
     /// Takes a usable idle connection from the pool, if there is one.
-    fn take(&self, target: &TargetId, now: Millis) -> Option<Lane> {
+    fn take(&self, target: &TargetId, now: Millis) -> Option<HttpConnection> {
         let mut idle = self.idle.borrow_mut();
         let pooled = idle.get_mut(target)?;
         while let Some(last) = pooled.pop() {
@@ -60,7 +60,7 @@
         reuse: bool,
         now: Millis,
         until: Instant,
-    ) -> Result<PooledLane, LaneError> {
+    ) -> Result<PooledLane, ConnectionError> {
         let pooled = if reuse {
             self.take(&target.id, now)
         } else {
@@ -70,7 +70,7 @@
             Ok(PooledLane { lane, reused: true })
         } else {
             metrics::counter!("thistlesill_edge_connections_total").increment(1);
-            let lane = Lane::open(target.address, until).await?;
+            let lane = HttpConnection::connect(target.address, until).await?;
             Ok(PooledLane {
                 lane,
                 reused: false,
@@ -85,7 +85,7 @@
     pub(crate) fn keep(
         &self,
         target: &TargetId,
-        lane: Lane,
+        lane: HttpConnection,
         keep: Option<Millis>,
         max: usize,
         now: Millis,
--- a/crates/thistlesill-edge/src/limits.rs
+++ b/crates/thistlesill-edge/src/limits.rs
@@ -345,7 +345,7 @@
     loop {
         tokio::select! {
             () = edge.limits.changed.notified() => {}
-            () = edge.alarm.until(last_repeated + REPEAT_INTERVAL) => {}
+            () = edge.alarm.sleep_until(last_repeated + REPEAT_INTERVAL) => {}
         }
         tokio::time::sleep(BATCH_DELAY).await;
         let now = edge.now();
--- a/crates/thistlesill-edge/src/proxy.rs
+++ b/crates/thistlesill-edge/src/proxy.rs
@@ -289,7 +289,7 @@
     } = answered;
     let read = edge
         .alarm
-        .in_time(job.answer_deadline(), body.collect())
+        .timeout_at(job.answer_deadline(), body.collect())
         .await;
     drop(flight);
     let body = match read {
--- a/crates/thistlesill-edge/src/state.rs
+++ b/crates/thistlesill-edge/src/state.rs
@@ -314,7 +314,7 @@
         let until = self.now() + LOAD_TIMEOUT;
         while !self.has_loaded() {
             let loaded = self.loaded.notified();
-            if self.alarm.in_time(until, loaded).await.is_none() {
+            if self.alarm.timeout_at(until, loaded).await.is_none() {
                 return;
             }
         }
--- a/crates/thistlesill-net/tests/cuts.rs
+++ b/crates/thistlesill-net/tests/cuts.rs
@@ -1,16 +1,16 @@
-//! A connection to a target that is cut at each point: what the client says
-//! of it must be true.
+//! Cuts the connection to a target at each point of a request. An event that wrongly states that
+//! the request did not run would let the request run twice.
 
 use std::net::SocketAddr;
 
 use bytes::Bytes;
 use thistlesill_core::seal::SharedKey;
 use thistlesill_core::{Millis, RequestId};
-use thistlesill_net::engine::{Engines, StreamAsk, StreamCall, StreamEvent};
+use thistlesill_net::engine::{Engines, StreamCall, StreamEvent, StreamOperation};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// What the fake target does with a connection.
+/// The point at which the fake target closes a connection.
 #[derive(Debug, Clone, Copy)]
 enum Cut {
     BeforeReading,
@@ -61,8 +61,8 @@
         epoch: 1,
         priority: 5,
         adapter: None,
-        left: Millis::new(2_000),
-        ask: StreamAsk::Complete {
+        time_left: Millis::new(2_000),
+        operation: StreamOperation::Complete {
             path: "/v1/chat/completions",
             body: Bytes::from_static(b"{}"),
             offset: 0,
