--- a/crates/thistlesill-edge/src/attempt.rs
+++ b/crates/thistlesill-edge/src/attempt.rs
@@ -163,7 +163,7 @@
     let edge = &job.edge;
     relay::stall(job, target, true).await;
     edge.suspect(&target.id, "no answer begins");
-    while !job.may_go_elsewhere(tried) && !edge.peers.borrow().is_dead(&target.id) {
+    while !job.may_go_elsewhere(tried) && !edge.peers.borrow().is_unresponsive(&target.id) {
         tokio::time::sleep(LOOK).await;
     }
 }
--- a/crates/thistlesill-edge/src/daemon.rs
+++ b/crates/thistlesill-edge/src/daemon.rs
@@ -304,7 +304,7 @@
         .maybe("targets_age_ms", edge.targets_age().map(Millis::get))
         .with("reads", edge.reads.get())
         .with("plans", edge.plans.get())
-        .with("peers", edge.peers.borrow().heard(now))
+        .with("peers", edge.peers.borrow().live_count(now))
         .with("targets", edge.book.borrow().count())
         .write();
 }
--- a/crates/thistlesill-edge/src/evacuation.rs
+++ b/crates/thistlesill-edge/src/evacuation.rs
@@ -1,4 +1,4 @@
-//! Takes in which data centres are evacuated.
+//! Applies which data centres are evacuated.
 
 use thistlesill_core::edge::Evacuations;
 use thistlesill_platform::store::{Content, Rows, evacuated_hall};
@@ -7,18 +7,18 @@
 use crate::limits;
 use crate::state::Edge;
 
-/// Takes in what the store answered about the operators' rows, all of them if `whole`.
-pub(crate) fn take_rows(edge: &Edge, rows: &Rows, whole: bool) {
+/// Applies what the store answered about the operators' rows, all of them if `snapshot`.
+pub(crate) fn apply_rows(edge: &Edge, rows: &Rows, snapshot: bool) {
     let listed = rows.rows.iter().filter_map(|row| {
         let hall = evacuated_hall(&row.key)?;
-        // Whatever a row holds, the operators wrote it.
+        // The operators wrote the row, whatever it holds.
         let evacuated = row.value != Content::Gone;
         Some(HallEntry { hall, evacuated })
     });
     let listed: Vec<HallEntry> = listed.collect();
     let changes = {
         let mut table = edge.evacuations.borrow_mut();
-        if whole {
+        if snapshot {
             table.replace(EvacuationTable::snapshot(&listed, rows.version))
         } else {
             table.apply(&listed, rows.version)
@@ -27,13 +27,13 @@
     apply(edge, &changes);
 }
 
-/// Takes in the list as a peer knows it.
+/// Applies the list as a peer knows it.
 pub(crate) fn replace(edge: &Edge, list: Evacuations) {
     let changes = edge.evacuations.borrow_mut().replace(list);
     apply(edge, &changes);
 }
 
-/// Has changes of the list be in force.
+/// Puts changes of the list into force.
 fn apply(edge: &Edge, changes: &[EvacuationChange]) {
     if changes.is_empty() {
         return;
--- a/crates/thistlesill-edge/src/flight.rs
+++ b/crates/thistlesill-edge/src/flight.rs
@@ -20,7 +20,7 @@
     pub(crate) fn new(edge: &Rc<Edge>, target: &Target, prompt: u32) -> Self {
         edge.loads.borrow_mut().begin(&target.id, prompt);
         let scope = Scope::of(target);
-        place::tell_counts(edge, &scope);
+        place::send_counts(edge, &scope);
         Self {
             edge: edge.clone(),
             target: target.id.clone(),
@@ -37,7 +37,7 @@
                 .loads
                 .borrow_mut()
                 .end_prefill(&self.target, unread);
-            place::tell_counts(&self.edge, &self.scope);
+            place::send_counts(&self.edge, &self.scope);
         }
     }
 }
@@ -50,6 +50,6 @@
             loads.end_prefill(&self.target, std::mem::take(&mut self.unread));
             loads.end(&self.target);
         }
-        place::tell_counts(edge, &self.scope);
+        place::send_counts(edge, &self.scope);
     }
 }
--- a/crates/thistlesill-edge/src/follow.rs
+++ b/crates/thistlesill-edge/src/follow.rs
@@ -1,15 +1,14 @@
-//! What a daemon knows from peers that read the store.
+//! What a daemon learns from the peers that read the store.
 //!
-//! Every call of the store has its price, and hundreds of daemons that all
-//! follow it would exceed its rate. So the daemon that forms groups reads the
-//! store, and the others ask it; when its word grows old, the first daemon of each
-//! data centre reads, and at last each for itself. A question carries the asker's
-//! time and comes back with the answer, so a proof's age is right on the asker's
-//! clock however long the datagrams, or either process, were held up.
+//! Every call of the store is expensive, and hundreds of daemons that all follow it would exceed
+//! its rate limit. So the planner reads the store, and the others ask it; when its proof grows old,
+//! the first daemon of each data centre reads, and at last each for itself. A request carries the
+//! sender's time and the reply repeats it, so a proof's age is right on the sender's clock however
+//! long the datagrams, or either process, were held up.
 //!
-//! Changes of targets go from the reader to all daemons; in a large fleet to some of
-//! each data centre, which pass them on there. Who misses some notices it by the
-//! versions, and asks whoever told of later ones.
+//! Changes of targets go from the reader to all daemons; in a large fleet to some of each data
+//! centre, which forward them there. A daemon that misses changes detects the gap by the versions,
+//! and asks the daemon that sent later ones.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -21,177 +20,180 @@
 use thistlesill_policy::edge::spread;
 
 use crate::evacuation;
-use crate::peers::packet::{Ask, Changes, KnownTargets, Packet, Pass, Vouch};
+use crate::peers::packet::{
+    Changes, Forwarding, FreshnessReply, FreshnessRequest, KnownTargets, Packet,
+};
 use crate::peers::{Reach, link};
 use crate::start::Start;
 use crate::state::{Edge, Lack};
 use crate::watch;
 
-/// Between two looks at whether this daemon reads the store.
-const LOOK: Duration = Duration::from_millis(200);
-/// Looks between two questions.
-const ASK_LOOKS: u32 = 2;
-/// Part of the time in which a new catalog must be in force after which a
-/// daemon without a younger proof reads the store itself. A reader's proof is
-/// up to half that time old; the rest is for the read.
-const ALONE_PART: f64 = 0.72;
-/// The same for the first daemon of a data centre, which then reads for the others
-/// there. A proof is usually at most half of that time old: two questions of the
-/// daemon that forms groups, and the time between two of this one's.
-const HEAD_PART: f64 = 0.56;
-/// Part of that time after which a daemon of a large fleet asks the daemon that reads the
-/// store, and no longer one of its data centre that asks that.
-const DELEGATE_PROOF_PART: f64 = 0.4;
-/// Part of the time after which a target that leaves gets no new requests. When
-/// its knowledge of the targets is older, a daemon on which others depend reads
-/// them from the store, although a planner is heard: the planner may be cut off
-/// from the store, and its lease lasts 2 s. Usually the knowledge is at most 0.85 s
-/// old: a question of the planner, and the time between two of its beats.
-const DOUBT_PART: f64 = 0.5;
-/// The same for daemons on which none depends; the rest is for the read.
-const TARGETS_ALONE_PART: f64 = 0.75;
-/// Time after the start in which the daemons find each other; all read the
-/// store once then, and none follows it yet.
-pub(crate) const FIND: Millis = Millis::new(1_300);
-/// At the first start of the whole system, how long a daemon waits for the first
-/// catalog from a peer: they find each other, and two of its questions follow.
-pub(crate) const FIRST_WORD: Millis = Millis::new(2_300);
-/// How long a daemon lacks changes before it asks for them. Where each word of later
-/// ones had it ask at once, the answers cost more than all else: 4.3 GB in 48 s between
+/// Time between two checks of whether this daemon reads the store.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// Checks between two requests to a peer.
+const CHECKS_PER_REQUEST: u32 = 2;
+/// Part of the time in which a new catalog must be in force after which a daemon without a younger
+/// proof reads the store itself. A reader's proof is up to half that time old; the rest is for the
+/// read.
+const OWN_READ_RATIO: f64 = 0.72;
+/// The same part for the first daemon of a data centre, which then reads for the others there. A
+/// proof is usually at most half of that time old: two requests of the planner, and the time
+/// between two of this daemon's.
+const HALL_READ_RATIO: f64 = 0.56;
+/// Part of that time after which a daemon of a large fleet asks the daemon that reads the store,
+/// and no longer one of its data centre that asks the reader.
+const DELEGATE_PROOF_RATIO: f64 = 0.4;
+/// Part of the time after which a target that leaves gets no new requests. When its knowledge of
+/// the targets is older, a daemon on which others depend reads them from the store, although the
+/// planner is alive: the planner may be cut off from the store, and its lease lasts 2 s. Usually
+/// the knowledge is at most 0.85 s old: a request of the planner, and the time between two of its
+/// heartbeats.
+const HALL_TARGETS_READ_RATIO: f64 = 0.5;
+/// The same part for daemons on which no others depend; the rest is for the read.
+const OWN_TARGETS_READ_RATIO: f64 = 0.75;
+/// Time after the start in which the daemons discover each other; all read the store once then, and
+/// none follows it yet.
+pub(crate) const DISCOVERY_PERIOD: Millis = Millis::new(1_300);
+/// At the first start of the whole system, how long a daemon waits for the first catalog from a
+/// peer: the daemons discover each other, and two of its requests follow.
+pub(crate) const FIRST_CATALOG_TIMEOUT: Millis = Millis::new(2_300);
+/// How long a gap in the changes must last before a daemon asks for them. When every report of
+/// later changes triggered a request, the replies cost more than all else: 4.3 GB in 48 s between
 /// the data centres of 295 daemons.
-const LACK: Millis = Millis::new(250);
-/// How long a daemon lacks changes that a peer does not keep before it has the list of all
-/// targets: three questions, and the steps in which changes go on.
-const GAP: Millis = Millis::new(1_200);
+const GAP_REQUEST_DELAY: Millis = Millis::new(250);
+/// How long a gap that a peer cannot fill must last before a daemon fetches the list of all
+/// targets: three requests, and the steps in which changes are forwarded.
+const GAP_SNAPSHOT_DELAY: Millis = Millis::new(1_200);
 /// Changes in one datagram.
-const MAX_TOLD: usize = 24;
-/// Changes that one answer holds, in several datagrams: more than come in until the next
-/// question, so that who has missed some catches up while targets go on changing.
-const MAX_ANSWERED: usize = 8 * MAX_TOLD;
+const MAX_CHANGES_PER_DATAGRAM: usize = 24;
+/// Changes in one reply, over several datagrams: more than come in until the next request, so that
+/// a daemon that has missed some catches up while targets go on changing.
+const MAX_CHANGES_PER_REPLY: usize = 8 * MAX_CHANGES_PER_DATAGRAM;
 
-/// Decides whether this daemon reads the store now.
+/// Returns whether this daemon should read the store now.
 pub(crate) fn reads_store(edge: &Edge) -> bool {
     let now = edge.now();
     let settings = edge.settings();
     if edge.plans.get() {
         return true;
     }
-    let quiet = if settings.first_start {
-        FIRST_WORD
+    let discovery = if settings.first_start {
+        FIRST_CATALOG_TIMEOUT
     } else {
-        FIND
+        DISCOVERY_PERIOD
     };
-    if now - edge.started < quiet {
-        // The others there have their proofs from it, and would else read the store
-        // before they have heard of another reader.
-        return edge.start.get() == Start::Reads && !settings.first_start;
+    if now - edge.started < discovery {
+        // The other daemons there get their proofs from this one, and would otherwise read the
+        // store before they have received another reader's heartbeat.
+        return edge.start.get() == Start::ReadsStore && !settings.first_start;
     }
-    if proof_is_older(edge, ALONE_PART) {
+    if proof_is_older(edge, OWN_READ_RATIO) {
         return true;
     }
-    let goes_on = edge.reads.get() && !edge.peers.borrow().hears_planner(now);
-    (proof_is_older(edge, HEAD_PART) || goes_on) && reads_for_others(edge)
+    let keeps_reading = edge.reads.get() && !edge.peers.borrow().is_planner_alive(now);
+    (proof_is_older(edge, HALL_READ_RATIO) || keeps_reading) && reads_for_others(edge)
 }
 
-/// Whether this daemon's proof of the catalog is older than a part of the time in which a
+/// Returns whether this daemon's proof of the catalog is older than `ratio` of the time in which a
 /// new catalog must be in force.
-fn proof_is_older(edge: &Edge, part: f64) -> bool {
+fn proof_is_older(edge: &Edge, ratio: f64) -> bool {
     let apply = edge.settings().bounds.apply.get() as f64;
     let age = edge.fresh.get().age(edge.now());
-    age.is_none_or(|age| age.get() as f64 > apply * part)
+    age.is_none_or(|age| age.get() as f64 > apply * ratio)
 }
 
-/// Whether other daemons depend on what this one reads.
+/// Returns whether other daemons depend on what this one reads.
 pub(crate) fn reads_for_others(edge: &Edge) -> bool {
     let settings = edge.settings();
     let peers = edge.peers.borrow();
     edge.plans.get() || peers.is_first(&settings.name, edge.is_away(), &settings.hall, edge.now())
 }
 
-/// Decides whether this daemon reads the targets' entries from the store: the
-/// one that forms groups does, and tells the others. Without it, or when what
-/// it tells grows old, the readers that others depend on do, and at last all.
+/// Returns whether this daemon should read the targets' entries from the store: the planner does,
+/// and sends them to the others. Without a planner, or when the data that it sends grows old, the
+/// readers that others depend on do, and at last all.
 pub(crate) fn reads_targets(edge: &Edge) -> bool {
     if edge.plans.get() {
         return true;
     }
     let drain = edge.settings().bounds.drain.get() as f64;
     let age = edge.targets_age().map_or(0.0, |age| age.get() as f64);
-    if age > drain * TARGETS_ALONE_PART && !edge.is_away() {
+    if age > drain * OWN_TARGETS_READ_RATIO && !edge.is_away() {
         return true;
     }
-    let planner = edge.peers.borrow().hears_planner(edge.now());
-    let told = planner && age <= drain * DOUBT_PART;
-    !told && edge.reads.get() && reads_for_others(edge)
+    let planner = edge.peers.borrow().is_planner_alive(edge.now());
+    let is_current = planner && age <= drain * HALL_TARGETS_READ_RATIO;
+    !is_current && edge.reads.get() && reads_for_others(edge)
 }
 
-/// What this daemon read of the targets itself a short time ago, for its peers. What
-/// it heard from others is not passed on: a datagram that was held up would make it
-/// seem younger with each hop.
+/// Returns what this daemon itself recently read of the targets, for its peers. What it received
+/// from others is not passed on: a datagram that was held up would make it seem younger with each
+/// hop.
 pub(crate) fn known_targets(edge: &Edge, now: Millis) -> Option<KnownTargets> {
     let age = now - edge.targets_read.get()?;
     if age > edge.settings().bounds.drain {
-        // It proves nothing to anyone any more.
+        // Knowledge of this age proves nothing to any peer.
         return None;
     }
     let newest = edge.feed.borrow().newest();
     Some(KnownTargets { newest, age })
 }
 
-/// Takes in how much of the targets a peer knows: as much as this daemon, or
-/// changes that it missed.
-pub(crate) fn hear_known(edge: &Edge, from: &NodeId, known: KnownTargets) {
+/// Receives how much of the targets a peer knows: as much as this daemon, or changes that this
+/// daemon missed.
+pub(crate) fn receive_known_targets(edge: &Edge, from: &NodeId, known: KnownTargets) {
     if !edge.feed.borrow().is_known() {
-        // It starts, and would wait for the store.
-        have_targets_of(edge, from);
+        // This daemon is starting, and would otherwise wait for the store.
+        fetch_targets_from(edge, from);
         return;
     }
     let at = edge.now() - known.age;
     let proved = edge.feed.borrow_mut().claim(known.newest, at);
     match proved {
         Some(at) => edge.confirm_targets(at),
-        None => ask_if_it_lasts(edge, from, known.newest),
+        None => request_persistent_gap(edge, from, known.newest),
     }
 }
 
-/// Asks a peer that reads the store, for ever.
+/// Decides on reading the store, and asks a peer that reads it, without end.
 pub(crate) async fn run(edge: Rc<Edge>) {
-    let mut looks = 0;
+    let mut checks = 0;
     let mut targets = false;
     // Daemons that start together would all ask at the same moment.
     let phase = edge.rng.borrow_mut().random_range(0.0..1.0);
-    tokio::time::sleep(LOOK.mul_f64(phase * f64::from(ASK_LOOKS))).await;
+    tokio::time::sleep(CHECK_INTERVAL.mul_f64(phase * f64::from(CHECKS_PER_REQUEST))).await;
     loop {
-        tokio::time::sleep(LOOK).await;
-        looks += 1;
-        let had = std::mem::replace(&mut targets, reads_targets(&edge));
-        if targets && !had {
+        tokio::time::sleep(CHECK_INTERVAL).await;
+        checks += 1;
+        let had_targets = std::mem::replace(&mut targets, reads_targets(&edge));
+        if targets && !had_targets {
             edge.reads_changed.notify_waiters();
         }
         let reads = reads_store(&edge);
         if edge.reads.replace(reads) != reads {
             edge.lines.line("store_reader").with("reads", reads).write();
             edge.reads_changed.notify_waiters();
-            // The others there ask this one, or no longer, without waiting for its next
-            // beat: asking one that had ceased to read left 61 daemons without a proof.
-            link::tell_beat(&edge, Reach::Near);
+            // The others there start or stop asking this daemon without waiting for its next
+            // heartbeat: requests to a daemon that had stopped reading left 61 daemons without a
+            // proof.
+            link::send_heartbeat(&edge, Reach::Near);
         }
-        if !edge.plans.get() && looks % ASK_LOOKS == 0 {
-            ask(&edge);
+        if !edge.plans.get() && checks % CHECKS_PER_REQUEST == 0 {
+            request_proof(&edge);
         }
     }
 }
 
-pub(crate) fn ask(edge: &Edge) {
+pub(crate) fn request_proof(edge: &Edge) {
     let settings = edge.settings();
     let reader = {
         let (peers, now) = (edge.peers.borrow(), edge.now());
-        // A daemon that reads the catalog itself asks for targets only, unless the store
-        // does not answer it.
+        // A daemon that reads the catalog itself asks for targets only, unless the store does not
+        // answer it.
         if edge.reads.get() && !edge.is_away() {
             peers.planner()
-        } else if spread::asks_delegate(peers.most())
-            && !proof_is_older(edge, DELEGATE_PROOF_PART)
+        } else if spread::asks_delegate(peers.daemon_count())
+            && !proof_is_older(edge, DELEGATE_PROOF_RATIO)
             && let Some(delegate) = peers.delegate(&settings, now)
         {
             Some(delegate)
@@ -200,104 +202,110 @@
         }
     };
     if let Some(reader) = reader {
-        ask_peer(edge, &reader);
+        send_request(edge, &reader);
     }
 }
 
-/// Asks a peer for changes up to a version, which this daemon lacks, if they have not
-/// come by themselves within a short time: they take two steps more than the word that
-/// there are some.
-fn ask_if_it_lasts(edge: &Edge, peer: &NodeId, newest: u64) {
-    if lasts(edge, &edge.lacks, newest, LACK) {
-        ask_peer(edge, peer);
+/// Asks a peer for changes up to a version, which this daemon lacks, if they have not arrived by
+/// themselves within a short time: they take two steps more than the report that they exist.
+fn request_persistent_gap(edge: &Edge, peer: &NodeId, newest: u64) {
+    if gap_persists(edge, &edge.lacks, newest, GAP_REQUEST_DELAY) {
+        send_request(edge, peer);
     }
 }
 
-/// Notes that this daemon lacks changes up to a version, and returns whether it has lacked
-/// those that were noted for a time; then that time begins anew.
-fn lasts(edge: &Edge, noted: &Cell<Option<Lack>>, newest: u64, time: Millis) -> bool {
+/// Records a gap up to a version. Returns whether the gap that was recorded before has lasted for
+/// `duration`; that time then starts again.
+fn gap_persists(edge: &Edge, recorded: &Cell<Option<Lack>>, newest: u64, duration: Millis) -> bool {
     let (now, version) = (edge.now(), edge.feed.borrow().version());
-    let lack = noted.get().filter(|lack| version < lack.version);
-    if lack.is_some_and(|lack| now - lack.since < time) {
+    let gap = recorded.get().filter(|gap| version < gap.version);
+    if gap.is_some_and(|gap| now - gap.since < duration) {
         return false;
     }
-    noted.set(Some(Lack {
+    recorded.set(Some(Lack {
         version: newest,
         since: now,
     }));
-    lack.is_some()
+    gap.is_some()
 }
 
-/// Takes in that a peer has begun to read the store: who has no young proof asks it at
-/// once. After an outage in which the planner was lost, daemons were without a proof for
-/// up to 2.4 s more, until each had asked the store itself.
-pub(crate) fn hear_reader(edge: &Edge, peer: &NodeId) {
-    if proof_is_older(edge, HEAD_PART) {
-        ask_peer(edge, peer);
+/// Reacts to a peer that has begun to read the store: a daemon without a young proof asks it at
+/// once. After an outage in which the planner was lost, daemons were without a proof for up to 2.4
+/// s more, until each had asked the store itself.
+pub(crate) fn request_from_new_reader(edge: &Edge, peer: &NodeId) {
+    if proof_is_older(edge, HALL_READ_RATIO) {
+        send_request(edge, peer);
     }
 }
 
-fn ask_peer(edge: &Edge, peer: &NodeId) {
+fn send_request(edge: &Edge, peer: &NodeId) {
     let settings = edge.settings();
-    let question = Ask {
+    let request = FreshnessRequest {
         from: settings.name.clone(),
-        asked: edge.now(),
+        asked_at: edge.now(),
         targets: edge.feed.borrow().version(),
     };
-    link::tell(edge, peer, &Packet::Ask(question));
+    link::send_to(edge, peer, &Packet::FreshnessRequest(request));
 }
 
-/// Answers a question with this daemon's proof of the catalog, however it got it, and
-/// with the changes that the asker lacks.
-pub(crate) fn answer(edge: &Edge, ask: &Ask) {
+/// Answers a request with this daemon's proof of the catalog, wherever the proof came from, and
+/// with the changes that the sender lacks.
+pub(crate) fn answer(edge: &Edge, request: &FreshnessRequest) {
     let now = edge.now();
     let catalog = edge.catalog().map(|c| c.version);
     let age = edge.fresh.get().age(now);
     if let (Some(catalog), Some(age)) = (catalog, age) {
-        let vouch = Vouch {
+        let reply = FreshnessReply {
             from: edge.settings().name.clone(),
-            asked: ask.asked,
+            asked_at: request.asked_at,
             catalog,
             age,
             floor: edge.feed.borrow().floor(),
             evacuated: edge.evacuations.borrow().known().clone(),
         };
-        link::tell(edge, &ask.from, &Packet::Vouch(vouch));
+        link::send_to(edge, &request.from, &Packet::FreshnessReply(reply));
     }
     let feed = edge.feed.borrow();
-    if !feed.is_known() || ask.targets >= feed.version() {
+    if !feed.is_known() || request.targets >= feed.version() {
         return;
     }
-    let Some(mut missed) = feed.after(ask.targets) else {
+    let Some(mut missed) = feed.after(request.targets) else {
         return;
     };
-    let whole = missed.len() <= MAX_ANSWERED;
-    missed.truncate(MAX_ANSWERED);
+    let complete = missed.len() <= MAX_CHANGES_PER_REPLY;
+    missed.truncate(MAX_CHANGES_PER_REPLY);
     let last = missed.last().map(|c| c.version);
-    let after = last.filter(|_| !whole).unwrap_or(feed.version());
-    let to = std::slice::from_ref(&ask.from);
-    send_changes(edge, to, &Pass::Nobody, ask.targets, &missed, after);
+    let after = last.filter(|_| !complete).unwrap_or(feed.version());
+    let to = std::slice::from_ref(&request.from);
+    send_changes(
+        edge,
+        to,
+        &Forwarding::Nobody,
+        request.targets,
+        &missed,
+        after,
+    );
 }
 
-/// As reader: tells all daemons what changed.
-pub(crate) fn tell_changes(edge: &Edge, before: u64, changes: &[Change], after: u64) {
-    let (to, pass) = receivers(edge);
-    send_changes(edge, &to, &pass, before, changes, after);
+/// As reader: sends changes to all daemons, directly or through relays.
+pub(crate) fn broadcast_changes(edge: &Edge, before: u64, changes: &[Change], after: u64) {
+    let (to, forwarding) = receivers(edge);
+    send_changes(edge, &to, &forwarding, before, changes, after);
 }
 
-/// Tells some daemons of the changes from one version to another, in as many datagrams as
-/// they need; of none as well, since that proves something.
+/// Sends the changes from one version to another to some daemons, in as many datagrams as needed.
+/// An empty list is sent as well, since it proves that there were no changes.
 fn send_changes(
     edge: &Edge,
     to: &[NodeId],
-    pass: &Pass,
+    forwarding: &Forwarding,
     mut before: u64,
     mut rest: &[Change],
     after: u64,
 ) {
-    let steady = edge.book.borrow().store_uptime(edge.now());
+    let store_uptime = edge.book.borrow().store_uptime(edge.now());
     loop {
-        let (part, later) = rest.split_at(rest.len().min(MAX_TOLD));
+        let (part, later) = rest.split_at(rest.len().min(MAX_CHANGES_PER_DATAGRAM));
         let last = part.last().map_or(after, |c| c.version);
         let until = if later.is_empty() { after } else { last };
         let packet = Packet::Changes(Changes {
@@ -305,12 +313,12 @@
                 before,
                 after: until,
                 changes: part.to_vec(),
-                store_uptime: steady,
+                store_uptime,
             },
             from: edge.settings().name.clone(),
-            pass: pass.clone(),
+            forwarding: forwarding.clone(),
         });
-        link::tell_each(edge, to, &packet);
+        link::send_to_each(edge, to, &packet);
         if later.is_empty() {
             return;
         }
@@ -318,65 +326,68 @@
     }
 }
 
-/// Whom this daemon tells of changes, and whom those pass them on to.
-fn receivers(edge: &Edge) -> (Vec<NodeId>, Pass) {
+/// Returns the daemons that this one sends changes to, and how those forward them.
+fn receivers(edge: &Edge) -> (Vec<NodeId>, Forwarding) {
     let (peers, now) = (edge.peers.borrow(), edge.now());
-    if !spread::uses_relays(peers.most()) {
-        return (peers.living(now), Pass::Nobody);
+    if !spread::uses_relays(peers.daemon_count()) {
+        return (peers.live_names(now), Forwarding::Nobody);
     }
     let rng = &mut *edge.rng.borrow_mut();
-    (peers.draw_by_hall(spread::RELAYS, now, rng), Pass::Hall)
+    (
+        peers.sample_by_hall(spread::RELAYS, now, rng),
+        Forwarding::Hall,
+    )
 }
 
-/// Whether this daemon has known less than what a peer keeps for longer than changes take
-/// on their way. A reader that has just started keeps nothing of before, and all others
-/// lag behind it by some tenths of a second: each read all targets then, five times in
-/// half a minute before 3,000 of them.
-fn lags_for_long(edge: &Edge, floor: u64) -> bool {
+/// Returns whether this daemon has lagged behind the changes that a peer keeps for longer than
+/// changes take to arrive. A reader that has just started keeps no earlier changes, and all others
+/// lag behind it by some tenths of a second: without this delay each read all targets then, five
+/// times in half a minute with 3,000 of them.
+fn lag_persists(edge: &Edge, floor: u64) -> bool {
     let lags = edge.feed.borrow().version() < floor;
-    let long = lags && lasts(edge, &edge.gap, floor, GAP);
-    if long {
-        // The list of all targets is on its way; another gap is noted with the next word.
+    let persists = lags && gap_persists(edge, &edge.gap, floor, GAP_SNAPSHOT_DELAY);
+    if persists {
+        // The list of all targets is being fetched; the next reply records a new gap.
         edge.gap.set(None);
     }
-    long
+    persists
 }
 
-/// Has the list of all targets be got from a peer that knows it.
-fn have_targets_of(edge: &Edge, peer: &NodeId) {
+/// Triggers a fetch of the list of all targets from a peer that knows it.
+fn fetch_targets_from(edge: &Edge, peer: &NodeId) {
     let address = edge.peers.borrow().address(peer);
     edge.targets_at.set(address);
     edge.targets_news.notify_one();
 }
 
-/// Takes in another daemon's word for the catalog.
-pub(crate) fn take_vouch(edge: &Edge, vouch: &Vouch) {
-    evacuation::replace(edge, vouch.evacuated.clone());
-    if lags_for_long(edge, vouch.floor) && !reads_targets(edge) {
-        have_targets_of(edge, &vouch.from);
+/// Receives another daemon's proof of the catalog.
+pub(crate) fn receive_reply(edge: &Edge, reply: &FreshnessReply) {
+    evacuation::replace(edge, reply.evacuated.clone());
+    if lag_persists(edge, reply.floor) && !reads_targets(edge) {
+        fetch_targets_from(edge, &reply.from);
     }
     let own = edge.catalog().map(|c| c.version);
-    if own.is_none_or(|own| vouch.catalog > own) {
-        let address = edge.peers.borrow().address(&vouch.from);
+    if own.is_none_or(|own| reply.catalog > own) {
+        let address = edge.peers.borrow().address(&reply.from);
         edge.catalog_at.set(address);
         edge.catalog_news.notify_one();
         return;
     }
-    if own == Some(vouch.catalog) {
-        edge.confirm(vouch.asked - vouch.age);
+    if own == Some(reply.catalog) {
+        edge.confirm(reply.asked_at - reply.age);
     }
 }
 
-/// Takes in changes of targets from a daemon that reads the store.
-pub(crate) fn take_changes(edge: &Edge, news: Changes) {
-    pass_on(edge, &news);
+/// Receives changes of targets from a daemon that reads the store, directly or forwarded.
+pub(crate) fn receive_changes(edge: &Edge, changes: Changes) {
+    forward(edge, &changes);
     if !edge.feed.borrow().is_known() {
         return;
     }
-    let from = news.from.clone();
-    let mut next = edge.feed.borrow_mut().accept(news.batch);
+    let from = changes.from.clone();
+    let mut next = edge.feed.borrow_mut().accept(changes.batch);
     while let Some(batch) = next {
-        take_next(edge, batch);
+        apply_batch(edge, batch);
         next = edge.feed.borrow_mut().next_held();
     }
     let reached = edge.feed.borrow_mut().resolve_claims();
@@ -385,38 +396,41 @@
     }
     let held = edge.feed.borrow().newest_held();
     if let Some(newest) = held {
-        ask_if_it_lasts(edge, &from, newest);
+        request_persistent_gap(edge, &from, newest);
     }
 }
 
-/// Takes in changes that follow those that are known.
-fn take_next(edge: &Edge, batch: Batch) {
+/// Applies changes that follow those that are known.
+fn apply_batch(edge: &Edge, batch: Batch) {
     let now = edge.now();
-    if let Some(steady) = batch.store_uptime {
-        edge.book.borrow_mut().set_store_up_since(now - steady);
+    if let Some(store_uptime) = batch.store_uptime {
+        edge.book
+            .borrow_mut()
+            .set_store_up_since(now - store_uptime);
     }
-    let fresh = edge.feed.borrow().unknown(batch.changes);
-    edge.feed.borrow_mut().extend(&fresh, batch.after);
-    watch::apply(edge, fresh.into_iter().map(|c| c.entry).collect());
+    let unknown = edge.feed.borrow().unknown(batch.changes);
+    edge.feed.borrow_mut().extend(&unknown, batch.after);
+    watch::apply(edge, unknown.into_iter().map(|c| c.entry).collect());
 }
 
-/// Passes changes on; who gets them may ask this daemon for what it misses.
-fn pass_on(edge: &Edge, news: &Changes) {
-    let to = |pass| {
+/// Forwards changes under this daemon's name, so that the receivers ask this daemon for what they
+/// miss.
+fn forward(edge: &Edge, changes: &Changes) {
+    let to = |forwarding| {
         Packet::Changes(Changes {
             from: edge.settings().name.clone(),
-            pass,
-            ..news.clone()
+            forwarding,
+            ..changes.clone()
         })
     };
-    match &news.pass {
-        Pass::Nobody => {}
-        Pass::Hall => {
+    match &changes.forwarding {
+        Forwarding::Nobody => {}
+        Forwarding::Hall => {
             let near = edge.peers.borrow().near_names(&edge.settings().hall);
             for (first, rest) in spread::parts(&near) {
-                link::tell(edge, first, &to(Pass::To(rest.to_vec())));
+                link::send_to(edge, first, &to(Forwarding::To(rest.to_vec())));
             }
         }
-        Pass::To(names) => link::tell_each(edge, names, &to(Pass::Nobody)),
+        Forwarding::To(names) => link::send_to_each(edge, names, &to(Forwarding::Nobody)),
     }
 }
--- a/crates/thistlesill-edge/src/job.rs
+++ b/crates/thistlesill-edge/src/job.rs
@@ -80,7 +80,7 @@
 
     /// Keeps a connection for the next request.
     pub(crate) fn keep_lane(&self, target: &TargetId, lane: Lane, keep: Option<Millis>) {
-        let daemons = self.edge.peers.borrow().most();
+        let daemons = self.edge.peers.borrow().daemon_count();
         let most = most_idle(self.passage.service.connections, daemons);
         let now = self.edge.now();
         self.edge.lanes.keep(target, lane, keep, most, now);
--- a/crates/thistlesill-edge/src/limits.rs
+++ b/crates/thistlesill-edge/src/limits.rs
@@ -19,9 +19,9 @@
 use tokio::sync::Notify;
 
 use crate::job::Job;
-use crate::peers::packet::{GrantAsk, GrantReply, Packet, Permit, ToldLimits};
+use crate::peers::packet::{GrantReply, GrantRequest, LimitUpdates, Packet, Permit};
 use crate::peers::place;
-use crate::peers::questions::{self, Questions};
+use crate::peers::questions::{self, PendingReplies};
 use crate::peers::{Reach, link};
 use crate::state::Edge;
 
@@ -47,7 +47,7 @@
     untold: RefCell<BTreeSet<TargetId>>,
     /// Woken when there are such.
     news: Notify,
-    questions: RefCell<Questions<GrantReply>>,
+    questions: RefCell<PendingReplies<GrantReply>>,
 }
 
 impl Limits {
@@ -218,7 +218,7 @@
     asked: Millis,
 ) -> Option<Clearance> {
     match permit {
-        Permit::Given => return Some(Clearance::granted(asked)),
+        Permit::Granted => return Some(Clearance::granted(asked)),
         Permit::NotNeeded if !edge.limits.is_limited(&target.id, edge.now()) => {
             return Some(Clearance::Unlimited);
         }
@@ -262,13 +262,13 @@
     }
     let (id, answer) = edge.limits.questions.borrow_mut().begin();
     let known = edge.limits.table.borrow().update(&target.id, edge.now());
-    let ask = GrantAsk {
+    let ask = GrantRequest {
         from: me,
         id,
         target: target.id.clone(),
         known,
     };
-    link::tell(edge, &keeper, &Packet::AskGrant(ask));
+    link::send_to(edge, &keeper, &Packet::GrantRequest(ask));
     let Some(reply) = questions::in_time(answer).await else {
         return Grant::NotOwner;
     };
@@ -284,7 +284,7 @@
 }
 
 /// As keeper: answers a daemon that wants to send a request.
-pub(crate) fn answer(edge: &Edge, ask: &GrantAsk) {
+pub(crate) fn answer(edge: &Edge, ask: &GrantRequest) {
     let now = edge.now();
     if let Some(told) = &ask.known {
         take_report(edge, &ask.target, told.report(now), ask.from.as_str());
@@ -300,17 +300,17 @@
         grant,
         known: edge.limits.table.borrow().update(&ask.target, now),
     };
-    link::tell(edge, &ask.from, &Packet::Grant(reply));
+    link::send_to(edge, &ask.from, &Packet::Grant(reply));
 }
 
 /// Takes in a keeper's answer.
 pub(crate) fn take_reply(edge: &Edge, reply: GrantReply) {
     let mut questions = edge.limits.questions.borrow_mut();
-    questions.answered(reply.id, reply);
+    questions.resolve(reply.id, reply);
 }
 
 /// Takes in what a peer tells of limits, and tells it what is known to be newer.
-pub(crate) fn hear(edge: &Edge, told: &ToldLimits) {
+pub(crate) fn hear(edge: &Edge, told: &LimitUpdates) {
     let now = edge.now();
     let mut newer = Vec::new();
     for limit in &told.list {
@@ -321,7 +321,7 @@
     }
     if !newer.is_empty() {
         let packet = packet(edge, newer);
-        link::tell(edge, &told.from, &packet);
+        link::send_to(edge, &told.from, &packet);
     }
 }
 
@@ -329,7 +329,7 @@
 pub(crate) fn tell_new_peer(edge: &Edge, peer: &NodeId) {
     let kept = edge.limits.table.borrow().owned_updates(edge.now());
     for part in kept.chunks(MAX_TOLD) {
-        link::tell(edge, peer, &packet(edge, part.to_vec()));
+        link::send_to(edge, peer, &packet(edge, part.to_vec()));
     }
 }
 
@@ -356,14 +356,14 @@
             list.extend(edge.limits.table.borrow().owned_updates(now));
         }
         for part in list.chunks(MAX_TOLD) {
-            link::tell_peers(&edge, &packet(&edge, part.to_vec()), Reach::All);
+            link::broadcast(&edge, &packet(&edge, part.to_vec()), Reach::All);
         }
     }
 }
 
 fn packet(edge: &Edge, list: Vec<LimitUpdate>) -> Packet {
     let from = edge.settings().name.clone();
-    Packet::Limits(ToldLimits { from, list })
+    Packet::Limits(LimitUpdates { from, list })
 }
 
 /// Takes a target up as its keeper, or leaves it to another daemon.
@@ -373,7 +373,7 @@
     let mut table = edge.limits.table.borrow_mut();
     if kept {
         let peers = edge.peers.borrow();
-        let part = (peers.heard(now) + 1) as f64 / peers.most() as f64;
+        let part = (peers.live_count(now) + 1) as f64 / peers.daemon_count() as f64;
         table.own(&target.id, part, now);
     } else {
         table.disown(&target.id);
@@ -383,7 +383,7 @@
 /// Housekeeping: takes up and leaves targets as their keeper, and forgets those that are
 /// gone.
 pub(crate) fn sweep(edge: &Edge) {
-    edge.limits.questions.borrow_mut().tidy();
+    edge.limits.questions.borrow_mut().remove_closed();
     let book = edge.book.borrow();
     let mut unreadable = edge.limits.unreadable.borrow_mut();
     unreadable.retain(|id| book.is_current(id));
--- a/crates/thistlesill-edge/src/peers.rs
+++ b/crates/thistlesill-edge/src/peers.rs
@@ -1,7 +1,7 @@
-//! The other daemons: what they tell of their load, what they suspect, and
+//! What this daemon knows of the other edge daemons: their load, the targets that they suspect, and
 //! which of them reads the store and forms groups.
 //!
-//! Datagrams may be lost; each is made good by a later one.
+//! Datagrams may be lost; a later one makes up for each.
 
 pub(crate) mod link;
 pub(crate) mod packet;
@@ -23,79 +23,78 @@
 use thistlesill_policy::lease::LeaseSnapshot;
 use tokio::net::UdpSocket;
 
-use self::packet::{AskedWork, Beat, StoreUse};
+use self::packet::{DemandReport, Heartbeat, StoreUse};
 use self::transfer::Member;
 use crate::state::Edge;
 
-/// The shortest silence after which a peer counts as down.
-const SILENT: Millis = Millis::new(1_500);
-/// The shortest time between two beats of a daemon that has requests. Owners know
-/// the load exactly, so beats only tell who lives and what it suspects.
-const NEAR_LEAST: Millis = Millis::new(150);
-/// Between two beats to the own data centre, for each daemon there, in milliseconds:
-/// what a daemon hears of them stays at some sixty beats a second.
-const NEAR_EACH: u64 = 16;
-/// Between two beats to other data centres, for each daemon, in milliseconds:
-/// what a daemon hears of them stays at thirty beats a second.
-const FAR_EACH: u64 = 34;
-/// Between two beats to a planner in another data centre, for each daemon, in
-/// tenths of a millisecond: it hears three hundred a second.
-const PLANNER_EACH: u64 = 34;
-/// The shortest time between two of these.
-const PLANNER_LEAST: Millis = Millis::new(300);
-/// After this silence the planner counts as down.
-const PLANNER_SILENT: Millis = Millis::new(1_200);
-/// After this silence a daemon is forgotten.
-const REMOVED: Millis = Millis::new(40_000);
-/// The shortest time between two accounts of what callers ask a daemon for: groups follow
-/// it within seconds.
-const ASKED_LEAST: Millis = Millis::new(1_000);
-/// Between two of them, for each daemon, in tenths of a millisecond: the daemon that forms
-/// groups hears 660 a second.
-const ASKED_EACH: u64 = 15;
-
-/// Which peers a datagram goes to.
+/// Shortest time without a heartbeat after which a peer counts as down.
+const PEER_TIMEOUT: Millis = Millis::new(1_500);
+/// Shortest time between two heartbeats of a daemon that has requests. Owners know the load
+/// exactly, so heartbeats only show which daemons are alive and what they suspect.
+const MIN_HEARTBEAT_INTERVAL: Millis = Millis::new(150);
+/// Milliseconds between two heartbeats to the own data centre, for each daemon there. A daemon then
+/// receives some sixty heartbeats a second from its data centre.
+const NEAR_INTERVAL_MS: u64 = 16;
+/// Milliseconds between two heartbeats to other data centres, for each daemon. A daemon then
+/// receives thirty heartbeats a second from them.
+const FAR_INTERVAL_MS: u64 = 34;
+/// Tenths of a millisecond between two heartbeats to a planner in another data centre, for each
+/// daemon. The planner then receives three hundred a second.
+const PLANNER_INTERVAL_TENTHS_MS: u64 = 34;
+/// Shortest time between two heartbeats to a planner in another data centre.
+const MIN_PLANNER_INTERVAL: Millis = Millis::new(300);
+/// Time without a heartbeat after which the planner counts as down.
+const PLANNER_TIMEOUT: Millis = Millis::new(1_200);
+/// Time without a heartbeat after which a daemon is removed.
+const REMOVAL_TIMEOUT: Millis = Millis::new(40_000);
+/// Shortest time between two demand reports of a daemon: groups follow the demand within seconds.
+const MIN_DEMAND_INTERVAL: Millis = Millis::new(1_000);
+/// Tenths of a millisecond between two demand reports, for each daemon. The planner then receives
+/// 660 reports a second.
+const DEMAND_INTERVAL_TENTHS_MS: u64 = 15;
+
+/// The peers that a datagram goes to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Reach {
-    /// Those of the same data centre, and those whose data centre is not known.
+    /// Peers of the same data centre, and those whose data centre is not known.
     Near,
-    /// All.
+    /// All peers.
     All,
 }
 
-/// What a beat tells that is new.
+/// What a heartbeat changed in the knowledge of its sender.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum News {
-    /// Nothing of note.
-    Nothing,
-    /// There is a peer of which this daemon knew nothing, or that has started again.
-    Peer,
+enum PeerChange {
+    /// Nothing that needs a reaction.
+    Unchanged,
+    /// The peer is new or has restarted.
+    Started,
     /// The peer has begun to read the store, or reads it again.
-    Reader,
+    ReadsStore,
 }
 
 #[derive(Debug, Clone)]
 struct Peer {
     address: SocketAddr,
     hall: HallId,
-    /// What its machine's connection bears, in Mbit a second.
+    /// Bandwidth of the instance's network connection, in Mbit/s.
     link: u32,
-    /// Which start of it was heard last.
+    /// Identifies the start of the peer that the last heartbeat came from.
     boot: Option<u64>,
-    heard: Option<Millis>,
-    listed: Millis,
+    last_heartbeat: Option<Millis>,
+    listed_at: Millis,
     store: StoreUse,
     busy: bool,
     owns: bool,
     suspects: Vec<TargetId>,
-    going_on: Vec<TargetId>,
+    streaming: Vec<TargetId>,
     slow: Vec<TargetId>,
-    busy_at: Vec<TargetId>,
+    active_targets: Vec<TargetId>,
 }
 
 impl Peer {
-    fn is_heard(&self, now: Millis, trust: Millis) -> bool {
-        self.heard.is_some_and(|at| now - at < trust)
+    fn is_recent(&self, now: Millis, timeout: Millis) -> bool {
+        self.last_heartbeat.is_some_and(|at| now - at < timeout)
     }
 
     fn is_near(&self, hall: &HallId) -> bool {
@@ -103,54 +102,58 @@
     }
 
     fn working(&self) -> impl Iterator<Item = &TargetId> {
-        let sound = |id: &&TargetId| !self.suspects.contains(id);
-        self.busy_at.iter().filter(sound).chain(&self.going_on)
+        let unsuspected = |id: &&TargetId| !self.suspects.contains(id);
+        self.active_targets
+            .iter()
+            .filter(unsuspected)
+            .chain(&self.streaming)
     }
 
-    fn silence(&self, now: Millis) -> Millis {
-        now - self.heard.unwrap_or(self.listed)
+    fn since_heartbeat(&self, now: Millis) -> Millis {
+        now - self.last_heartbeat.unwrap_or(self.listed_at)
     }
 }
 
-/// The daemons that are known.
+/// The other daemons of the fleet, as far as this daemon knows them.
 #[derive(Debug, Default)]
 pub(crate) struct Peers {
     known: HashMap<NodeId, Peer>,
-    /// Rises when a daemon becomes known, moves or is forgotten.
+    /// Increases when a daemon is added, changes its address or data centre, or is removed.
     revision: u64,
-    /// How many of them there are by data centre: each beat's trust depends on it.
+    /// Number of known peers by data centre, kept up to date since the timeout of each heartbeat
+    /// depends on it.
     by_hall: HashMap<HallId, usize>,
-    /// Whether the list of daemons in the store has been read.
+    /// Whether the list of daemons has been read, from the store or from a peer.
     listed: bool,
     planner: Option<(NodeId, Millis)>,
-    /// Whether that planner has said since that it forms groups no longer.
+    /// Whether that planner has announced since that it no longer forms groups.
     planner_ended: bool,
     pub(crate) socket: Option<Rc<UdpSocket>>,
     /// The lease as this daemon holds it.
-    pub(crate) shown: Option<LeaseSnapshot>,
-    /// The lease as another daemon told of it.
-    pub(crate) heard_lease: Option<LeaseSnapshot>,
-    /// As planner: what callers ask the other daemons for, and when they told.
-    asked: HashMap<NodeId, (Millis, AskedWork)>,
+    pub(crate) lease: Option<LeaseSnapshot>,
+    /// The lease in the planner's last heartbeat.
+    pub(crate) received_lease: Option<LeaseSnapshot>,
+    /// As planner: the last demand report of each daemon, and when it was received.
+    demand_reports: HashMap<NodeId, (Millis, DemandReport)>,
     /// As planner: targets that answered no probe.
-    pub(crate) dead: Vec<TargetId>,
-    /// The same as another planner told last.
-    told_dead: Vec<TargetId>,
+    pub(crate) unresponsive: Vec<TargetId>,
+    /// Targets that answered no probe, in the planner's last heartbeat.
+    received_unresponsive: Vec<TargetId>,
     /// Groups whose members may be joined late, if this daemon knows of all.
-    pub(crate) late: Option<Vec<GroupRef>>,
-    /// The same as another daemon told last: the planner, or any while this one has not
-    /// watched for long.
-    pub(crate) told_late: Option<LateJoins>,
+    pub(crate) late_joins: Option<Vec<GroupRef>>,
+    /// Groups whose members may be joined late, as received last: from the planner, or from any
+    /// daemon while this one has not watched for long.
+    pub(crate) received_late_joins: Option<LateJoins>,
 }
 
 impl Peers {
-    /// How many daemons there may be, this one included.
-    pub(crate) fn most(&self) -> usize {
+    /// Returns the number of known daemons, this one included, whether they are alive or not.
+    pub(crate) fn daemon_count(&self) -> usize {
         self.known.len() + 1
     }
 
-    /// How many daemons of a data centre there may be, this one included.
-    pub(crate) fn near(&self, hall: &HallId) -> usize {
+    /// Returns the number of known daemons of a data centre, this one included.
+    pub(crate) fn near_count(&self, hall: &HallId) -> usize {
         let near = self
             .by_hall
             .iter()
@@ -158,119 +161,127 @@
         near.map(|(_, count)| count).sum::<usize>() + 1
     }
 
-    /// The time between two beats to the own data centre.
-    pub(crate) fn near_gap(&self, hall: &HallId) -> Millis {
-        NEAR_LEAST.max(Millis::new(NEAR_EACH * self.near(hall) as u64))
+    /// Returns the time between two heartbeats to the own data centre.
+    pub(crate) fn near_interval(&self, hall: &HallId) -> Millis {
+        MIN_HEARTBEAT_INTERVAL.max(Millis::new(NEAR_INTERVAL_MS * self.near_count(hall) as u64))
     }
 
-    /// The time between two beats to other data centres. Bytes on the way there
-    /// cost, and only their owners, and the planner, need to know more.
-    pub(crate) fn far_gap(&self) -> Millis {
-        Millis::new(FAR_EACH * self.most() as u64)
+    /// Returns the time between two heartbeats to other data centres. Traffic between data centres
+    /// is expensive, and only their owners and the planner need more frequent reports.
+    pub(crate) fn far_interval(&self) -> Millis {
+        Millis::new(FAR_INTERVAL_MS * self.daemon_count() as u64)
     }
 
-    /// The time between two beats to the planner, wherever it is.
-    pub(crate) fn planner_gap(&self) -> Millis {
-        PLANNER_LEAST.max(Millis::new(PLANNER_EACH * self.most() as u64 / 10))
+    /// Returns the time between two heartbeats to the planner, in whichever data centre it is.
+    pub(crate) fn planner_interval(&self) -> Millis {
+        MIN_PLANNER_INTERVAL.max(Millis::new(
+            PLANNER_INTERVAL_TENTHS_MS * self.daemon_count() as u64 / 10,
+        ))
     }
 
-    /// The time between two accounts of what callers ask a daemon for.
-    pub(crate) fn asked_gap(&self) -> Millis {
-        ASKED_LEAST.max(Millis::new(ASKED_EACH * self.most() as u64 / 10))
+    /// Returns the time between two demand reports of a daemon.
+    pub(crate) fn demand_interval(&self) -> Millis {
+        MIN_DEMAND_INTERVAL.max(Millis::new(
+            DEMAND_INTERVAL_TENTHS_MS * self.daemon_count() as u64 / 10,
+        ))
     }
 
-    /// How long such an account is believed: two of them may be lost.
-    fn asked_trust(&self) -> Millis {
-        Millis::new(self.asked_gap().get() * 7 / 2)
+    /// Returns how long a demand report stays valid: two reports in a row may be lost.
+    fn demand_timeout(&self) -> Millis {
+        Millis::new(self.demand_interval().get() * 7 / 2)
     }
 
-    /// How long what a peer told is believed, by those that are told more often than
-    /// the rest: two beats may come late in a row.
-    pub(crate) fn trust(&self, hall: &HallId) -> Millis {
-        let gap = self.near_gap(hall).max(self.planner_gap());
-        SILENT.max(Millis::new(gap.get() * 9 / 4))
+    /// Returns how long the state in a peer's heartbeat stays valid, for daemons that receive more
+    /// heartbeats than the rest: two heartbeats in a row may be late.
+    pub(crate) fn peer_timeout(&self, hall: &HallId) -> Millis {
+        let interval = self.near_interval(hall).max(self.planner_interval());
+        PEER_TIMEOUT.max(Millis::new(interval.get() * 9 / 4))
     }
 
-    /// How long a peer of another data centre counts as living after its last beat.
-    fn far_trust(&self) -> Millis {
-        SILENT.max(Millis::new(self.far_gap().get() * 9 / 4))
+    /// Returns how long a peer of another data centre counts as alive after its last heartbeat.
+    fn far_timeout(&self) -> Millis {
+        PEER_TIMEOUT.max(Millis::new(self.far_interval().get() * 9 / 4))
     }
 
-    /// How many peers were heard a moment ago.
-    pub(crate) fn heard(&self, now: Millis) -> usize {
-        let trust = self.far_trust();
+    /// Returns the number of peers with a recent heartbeat.
+    pub(crate) fn live_count(&self, now: Millis) -> usize {
+        let timeout = self.far_timeout();
         self.known
             .values()
-            .filter(|p| p.is_heard(now, trust))
+            .filter(|p| p.is_recent(now, timeout))
             .count()
     }
 
-    /// Whether a daemon that forms groups was heard a moment ago.
-    pub(crate) fn hears_planner(&self, now: Millis) -> bool {
-        let heard = self.planner_heard();
-        !self.planner_ended && heard.is_some_and(|at| now - at < PLANNER_SILENT)
+    /// Returns whether the planner has sent a recent heartbeat and still forms groups.
+    pub(crate) fn is_planner_alive(&self, now: Millis) -> bool {
+        let seen_at = self.planner_seen_at();
+        !self.planner_ended && seen_at.is_some_and(|at| now - at < PLANNER_TIMEOUT)
     }
 
-    /// When a daemon that forms groups was last heard.
-    pub(crate) fn planner_heard(&self) -> Option<Millis> {
+    /// Returns when the last heartbeat of a planner was received.
+    pub(crate) fn planner_seen_at(&self) -> Option<Millis> {
         self.planner.as_ref().map(|(_, at)| *at)
     }
 
-    /// The daemon that formed groups when it was last heard.
+    /// Returns the daemon that sent the last heartbeat of a planner.
     pub(crate) fn planner(&self) -> Option<NodeId> {
         self.planner.as_ref().map(|(name, _)| name.clone())
     }
 
-    /// Whether the daemon that forms groups found a target dead.
-    pub(crate) fn is_dead(&self, target: &TargetId) -> bool {
-        self.dead.contains(target) || self.told_dead.contains(target)
+    /// Returns whether the planner found a target unresponsive.
+    pub(crate) fn is_unresponsive(&self, target: &TargetId) -> bool {
+        self.unresponsive.contains(target) || self.received_unresponsive.contains(target)
     }
 
-    /// Whether a peer is in another data centre than `hall`.
+    /// Returns whether a peer is in another data centre than `hall`.
     fn is_far(&self, name: &NodeId, hall: &HallId) -> bool {
         self.known.get(name).is_some_and(|p| p.hall != *hall)
     }
 
-    /// Whether any peer has had a request.
+    /// Returns whether any peer has received a request.
     pub(crate) fn any_busy(&self) -> bool {
         self.known.values().any(|p| p.busy)
     }
 
-    /// Targets that peers suspect.
+    /// Returns the targets that peers suspect.
     pub(crate) fn suspects(&self, hall: &HallId, now: Millis) -> HashSet<TargetId> {
-        let trust = self.trust(hall);
-        let fresh = self.known.values().filter(|p| p.is_heard(now, trust));
+        let timeout = self.peer_timeout(hall);
+        let fresh = self.known.values().filter(|p| p.is_recent(now, timeout));
         fresh.flat_map(|p| p.suspects.iter().cloned()).collect()
     }
 
-    /// Targets whose streams are slow, as peers see it.
+    /// Returns the targets whose streams are slow according to peers.
     pub(crate) fn slow(&self, hall: &HallId, now: Millis) -> HashSet<TargetId> {
-        let trust = self.trust(hall);
-        let fresh = self.known.values().filter(|p| p.is_heard(now, trust));
+        let timeout = self.peer_timeout(hall);
+        let fresh = self.known.values().filter(|p| p.is_recent(now, timeout));
         fresh.flat_map(|p| p.slow.iter().cloned()).collect()
     }
 
-    /// Targets at which a peer has requests without suspecting them, or streams that
-    /// go on.
+    /// Returns the targets at which a peer has requests without suspecting them, or that still send
+    /// it streams.
     pub(crate) fn working(&self, hall: &HallId, now: Millis) -> HashSet<TargetId> {
-        let trust = self.trust(hall);
-        let fresh = self.known.values().filter(|p| p.is_heard(now, trust));
+        let timeout = self.peer_timeout(hall);
+        let fresh = self.known.values().filter(|p| p.is_recent(now, timeout));
         let all = fresh.flat_map(Peer::working);
         all.cloned().collect()
     }
 
-    /// Takes in what callers ask a peer for.
-    pub(crate) fn hear_asked(&mut self, asked: AskedWork, now: Millis) {
-        self.asked.insert(asked.from.clone(), (now, asked));
-        let trust = self.asked_trust();
-        self.asked.retain(|_, (at, _)| now - *at < trust);
+    /// Records a peer's demand report.
+    pub(crate) fn record_demand_report(&mut self, report: DemandReport, now: Millis) {
+        self.demand_reports
+            .insert(report.from.clone(), (now, report));
+        let timeout = self.demand_timeout();
+        self.demand_reports.retain(|_, (at, _)| now - *at < timeout);
     }
 
-    /// What callers ask the peers for, of one service.
+    /// Returns the demand for one service that peers reported.
     pub(crate) fn demand(&self, service: &ServiceName, now: Millis) -> Demand {
-        let trust = self.asked_trust();
-        let fresh = self.asked.values().filter(|(at, _)| now - *at < trust);
-        let all = fresh.flat_map(|(_, asked)| &asked.work);
+        let timeout = self.demand_timeout();
+        let fresh = self
+            .demand_reports
+            .values()
+            .filter(|(at, _)| now - *at < timeout);
+        let all = fresh.flat_map(|(_, report)| &report.work);
         let mut demand = Demand::new();
         for (_, model, work) in all.filter(|(name, _, _)| name == service) {
             *demand.entry(Model::clone(model)).or_default() += f64::from(*work);
@@ -278,17 +289,17 @@
         demand
     }
 
-    /// Changes whenever [`Peers::members`] would name other daemons.
+    /// Returns a number that changes whenever [`Peers::members`] would return other daemons.
     pub(crate) const fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// The addresses of all daemons that are known.
+    /// Returns the addresses of all known daemons.
     fn all_addresses(&self) -> Vec<SocketAddr> {
         self.known.values().map(|p| p.address).collect()
     }
 
-    /// The daemons that live as far as is known, with `edge`'s own.
+    /// Returns the daemons that count as alive, including the one that `edge` belongs to.
     fn members(&self, edge: &Edge) -> Vec<Member> {
         let (now, settings) = (edge.now(), edge.settings());
         let peers = self.alive(now).map(|(name, p)| Member {
@@ -300,58 +311,62 @@
         peers.chain([Member::own(&settings)]).collect()
     }
 
-    /// Takes in a daemon that another one tells of.
-    fn note_member(&mut self, member: &Member, now: Millis) {
+    /// Adds a daemon that another daemon reported.
+    fn add_member(&mut self, member: &Member, now: Millis) {
         let (name, hall) = (member.name.clone(), member.hall.clone());
-        self.list(name.clone(), member.address, hall, now);
+        self.add(name.clone(), member.address, hall, now);
         if let Some(peer) = self.known.get_mut(&name) {
             peer.link = member.link;
         }
     }
 
-    /// The peers that may live.
+    /// Returns the peers that have not been without a heartbeat for too long.
     fn alive(&self, now: Millis) -> impl Iterator<Item = (&NodeId, &Peer)> {
-        let alive = move |p: &Peer| p.silence(now) < REMOVED;
+        let alive = move |p: &Peer| p.since_heartbeat(now) < REMOVAL_TIMEOUT;
         self.known.iter().filter(move |(_, p)| alive(p))
     }
 
-    /// The names of all peers that may live.
-    pub(crate) fn living(&self, now: Millis) -> Vec<NodeId> {
+    /// Returns the names of the peers in [`Peers::alive`].
+    pub(crate) fn live_names(&self, now: Millis) -> Vec<NodeId> {
         self.alive(now).map(|(name, _)| name.clone()).collect()
     }
 
-    /// The names of the peers of a data centre.
+    /// Returns the names of the peers of a data centre.
     pub(crate) fn near_names(&self, hall: &HallId) -> Vec<NodeId> {
         let near = self.known.iter().filter(|(_, p)| p.is_near(hall));
         near.map(|(name, _)| name.clone()).collect()
     }
 
-    /// The address of a peer.
+    /// Returns the address of a peer.
     pub(crate) fn address(&self, name: &NodeId) -> Option<SocketAddr> {
         self.known.get(name).map(|p| p.address)
     }
 
-    /// The addresses of all peers that may live.
+    /// Returns the addresses of the peers in [`Peers::alive`] that are within reach.
     fn addresses(
         &self,
         now: Millis,
         hall: &HallId,
         reach: Reach,
     ) -> impl Iterator<Item = SocketAddr> {
-        let wanted = move |p: &Peer| reach == Reach::All || p.is_near(hall);
-        let peers = self.alive(now).filter(move |(_, p)| wanted(p));
+        let is_within_reach = move |p: &Peer| reach == Reach::All || p.is_near(hall);
+        let peers = self.alive(now).filter(move |(_, p)| is_within_reach(p));
         peers.map(|(_, p)| p.address)
     }
 
-    fn silent_for(&self, time: Millis, now: Millis) -> Vec<NodeId> {
-        let silent = self.known.iter().filter(|(_, p)| p.silence(now) > time);
-        silent.map(|(name, _)| name.clone()).collect()
+    fn expired(&self, timeout: Millis, now: Millis) -> Vec<NodeId> {
+        let expired = self
+            .known
+            .iter()
+            .filter(|(_, p)| p.since_heartbeat(now) > timeout);
+        expired.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Forgets all that have been silent for long, so that those that the store
-    /// still lists are told of this daemon again.
-    fn forget_silent(&mut self, now: Millis) {
-        self.known.retain(|_, p| p.silence(now) < REMOVED);
+    /// Removes the peers that have sent no heartbeat for long. Those that the store still lists are
+    /// added again and receive this daemon's heartbeats again.
+    fn remove_expired(&mut self, now: Millis) {
+        self.known
+            .retain(|_, p| p.since_heartbeat(now) < REMOVAL_TIMEOUT);
         self.revision += 1;
         self.by_hall.clear();
         for peer in self.known.values() {
@@ -359,56 +374,65 @@
         }
     }
 
-    /// Takes in how a peer is; returns what is new of it.
-    fn hear(&mut self, beat: &Beat, from: SocketAddr, now: Millis) -> News {
-        let news = match self.known.get(&beat.from) {
-            // One that has started again knows as little as one that is new: without this it
-            // was told of targets' limits two seconds later, and sent requests meanwhile.
-            None => News::Peer,
-            Some(peer) if peer.boot != Some(beat.boot) => News::Peer,
-            Some(peer) if beat.store == StoreUse::Reads && peer.store != beat.store => News::Reader,
-            Some(_) => News::Nothing,
+    /// Records a peer's heartbeat and returns what it changed.
+    fn apply_heartbeat(
+        &mut self,
+        heartbeat: &Heartbeat,
+        address: SocketAddr,
+        now: Millis,
+    ) -> PeerChange {
+        let change = match self.known.get(&heartbeat.from) {
+            // A daemon that has restarted knows as little as a new one. When restarts were not
+            // detected, such a daemon received the limits of targets two seconds later, and sent
+            // requests meanwhile.
+            None => PeerChange::Started,
+            Some(peer) if peer.boot != Some(heartbeat.boot) => PeerChange::Started,
+            Some(peer) if heartbeat.store == StoreUse::Reads && peer.store != heartbeat.store => {
+                PeerChange::ReadsStore
+            }
+            Some(_) => PeerChange::Unchanged,
         };
-        self.list(beat.from.clone(), from, beat.hall.clone(), now);
-        let Some(peer) = self.known.get_mut(&beat.from) else {
-            return news;
+        self.add(heartbeat.from.clone(), address, heartbeat.hall.clone(), now);
+        let Some(peer) = self.known.get_mut(&heartbeat.from) else {
+            return change;
         };
-        peer.heard = Some(now);
-        peer.boot = Some(beat.boot);
-        peer.link = beat.link;
-        if peer.hall != beat.hall {
-            let before = std::mem::replace(&mut peer.hall, beat.hall.clone());
+        peer.last_heartbeat = Some(now);
+        peer.boot = Some(heartbeat.boot);
+        peer.link = heartbeat.link;
+        if peer.hall != heartbeat.hall {
+            let old_hall = std::mem::replace(&mut peer.hall, heartbeat.hall.clone());
             self.revision += 1;
-            *self.by_hall.entry(beat.hall.clone()).or_default() += 1;
-            if let Some(count) = self.by_hall.get_mut(&before) {
+            *self.by_hall.entry(heartbeat.hall.clone()).or_default() += 1;
+            if let Some(count) = self.by_hall.get_mut(&old_hall) {
                 *count -= 1;
             }
         }
-        peer.store = beat.store;
-        peer.busy = beat.busy;
-        peer.owns = beat.owns;
-        peer.suspects.clone_from(&beat.suspects);
-        peer.going_on.clone_from(&beat.going_on);
-        peer.slow.clone_from(&beat.slow);
-        peer.busy_at = beat.counts.iter().map(|(id, _)| id.clone()).collect();
-        if let Some(late) = &beat.late
-            && (beat.plans || self.late.is_none())
+        peer.store = heartbeat.store;
+        peer.busy = heartbeat.busy;
+        peer.owns = heartbeat.owns;
+        peer.suspects.clone_from(&heartbeat.suspects);
+        peer.streaming.clone_from(&heartbeat.streaming);
+        peer.slow.clone_from(&heartbeat.slow);
+        peer.active_targets = heartbeat.counts.iter().map(|(id, _)| id.clone()).collect();
+        if let Some(late) = &heartbeat.late_joins
+            && (heartbeat.plans || self.late_joins.is_none())
         {
             let groups = late.clone();
-            self.told_late = Some(LateJoins { groups, at: now });
+            self.received_late_joins = Some(LateJoins { groups, at: now });
         }
-        if beat.plans {
-            self.planner = Some((beat.from.clone(), now));
+        if heartbeat.plans {
+            self.planner = Some((heartbeat.from.clone(), now));
             self.planner_ended = false;
-            self.heard_lease.clone_from(&beat.lease);
-            self.told_dead.clone_from(&beat.dead);
-        } else if self.planner().as_ref() == Some(&beat.from) {
+            self.received_lease.clone_from(&heartbeat.lease);
+            self.received_unresponsive
+                .clone_from(&heartbeat.unresponsive);
+        } else if self.planner().as_ref() == Some(&heartbeat.from) {
             self.planner_ended = true;
         }
-        news
+        change
     }
 
-    fn list(&mut self, name: NodeId, address: SocketAddr, hall: HallId, now: Millis) {
+    fn add(&mut self, name: NodeId, address: SocketAddr, hall: HallId, now: Millis) {
         let peer = self.known.entry(name).or_insert_with(|| {
             self.revision += 1;
             *self.by_hall.entry(hall.clone()).or_default() += 1;
@@ -417,15 +441,15 @@
                 hall,
                 link: 0,
                 boot: None,
-                heard: None,
-                listed: now,
+                last_heartbeat: None,
+                listed_at: now,
                 store: StoreUse::Asks,
                 busy: false,
                 owns: false,
                 suspects: Vec::new(),
-                going_on: Vec::new(),
+                streaming: Vec::new(),
                 slow: Vec::new(),
-                busy_at: Vec::new(),
+                active_targets: Vec::new(),
             }
         });
         if peer.address != address {
--- a/crates/thistlesill-edge/src/peers/link.rs
+++ b/crates/thistlesill-edge/src/peers/link.rs
@@ -1,4 +1,4 @@
-//! The socket for datagrams between daemons.
+//! Sends and receives the datagrams between daemons.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -7,22 +7,23 @@
 use thistlesill_policy::edge::beats::{DueHeartbeat, HeartbeatIntervals, HeartbeatSchedule};
 use tokio::net::UdpSocket;
 
-use super::packet::{AskedWork, Beat, Packet, StoreUse};
-use super::{News, Reach, place};
+use super::packet::{DemandReport, Heartbeat, Packet, StoreUse};
+use super::{PeerChange, Reach, place};
 use crate::follow;
 use crate::limits;
 use crate::quarantine;
 use crate::state::Edge;
 
-/// The longest time between two beats of the daemon that forms groups: others
-/// take it for down after three of them.
-const PLANNER_BEAT: Millis = Millis::new(400);
-/// Between two beats of a daemon without requests.
-const IDLE_BEAT: Millis = Millis::new(300);
-/// Bytes of a datagram, at most.
+/// Longest time between two heartbeats of the planner: others count it as down after three of
+/// these.
+const MAX_PLANNER_INTERVAL: Millis = Millis::new(400);
+/// Time between two heartbeats of a daemon without requests.
+const IDLE_INTERVAL: Millis = Millis::new(300);
+/// Largest size of a datagram.
 pub(crate) const MAX_DATAGRAM: usize = 8 * 1024;
 
-/// Opens the socket for datagrams. Whoever has none hears of nobody, and says so.
+/// Opens the socket for datagrams. A daemon whose socket cannot be opened logs an error and runs
+/// without contact to its peers.
 pub(crate) async fn open(edge: &Edge) {
     let address = edge.settings().peer_address();
     match UdpSocket::bind(address).await {
@@ -31,52 +32,52 @@
     }
 }
 
-/// Sends and takes in datagrams, for ever.
+/// Sends heartbeats and demand reports when they are due and receives datagrams, without end.
 pub(crate) async fn run(edge: Rc<Edge>) {
-    tokio::task::spawn_local(listen(edge.clone()));
+    tokio::task::spawn_local(receive(edge.clone()));
     let mut schedule = HeartbeatSchedule::new(edge.now());
     loop {
         let listed = edge.peers.borrow().is_listed();
-        match schedule.next(&gaps(&edge), listed, edge.now()) {
-            DueHeartbeat::All => tell_beat(&edge, Reach::All),
-            DueHeartbeat::Near => tell_beat(&edge, Reach::Near),
-            DueHeartbeat::Planner => tell_far_planner(&edge),
-            DueHeartbeat::Demand => tell_asked(&edge),
-            // The gaps change with the requests, the list and the lease.
+        match schedule.next(&intervals(&edge), listed, edge.now()) {
+            DueHeartbeat::All => send_heartbeat(&edge, Reach::All),
+            DueHeartbeat::Near => send_heartbeat(&edge, Reach::Near),
+            DueHeartbeat::Planner => send_heartbeat_to_far_planner(&edge),
+            DueHeartbeat::Demand => send_demand_report(&edge),
+            // The intervals change with the requests, the list of daemons and the lease.
             DueHeartbeat::Wait(until) => {
-                let look = edge.now() + IDLE_BEAT;
-                edge.alarm.until(until.min(look)).await;
+                let latest = edge.now() + IDLE_INTERVAL;
+                edge.alarm.until(until.min(latest)).await;
             }
         }
     }
 }
 
-/// The times between two beats.
-fn gaps(edge: &Edge) -> HeartbeatIntervals {
+/// Returns the times between two heartbeats and between two demand reports.
+fn intervals(edge: &Edge) -> HeartbeatIntervals {
     let peers = edge.peers.borrow();
-    let near = peers.near_gap(&edge.settings().hall);
+    let near = peers.near_interval(&edge.settings().hall);
     let idle = edge.active.get() == 0;
-    let all = peers.far_gap();
+    let all = peers.far_interval();
     HeartbeatIntervals {
-        near: if idle { IDLE_BEAT.max(near) } else { near },
+        near: if idle { IDLE_INTERVAL.max(near) } else { near },
         all: if edge.plans.get() {
-            all.min(PLANNER_BEAT)
+            all.min(MAX_PLANNER_INTERVAL)
         } else {
             all
         },
-        planner: peers.planner_gap(),
-        demand: peers.asked_gap(),
+        planner: peers.planner_interval(),
+        demand: peers.demand_interval(),
     }
 }
 
-/// The daemon that forms groups, if it is another one.
+/// Returns the planner, if it is another daemon.
 fn other_planner(edge: &Edge) -> Option<NodeId> {
     let planner = edge.peers.borrow().planner();
     planner.filter(|_| !edge.plans.get())
 }
 
-/// Tells the daemon that forms groups what callers ask this one for.
-fn tell_asked(edge: &Edge) {
+/// Sends the demand of this daemon's callers to the planner.
+fn send_demand_report(edge: &Edge) {
     let Some(planner) = other_planner(edge) else {
         return;
     };
@@ -84,47 +85,47 @@
     let work = work.into_iter();
     let work = work.map(|((service, model), work)| (service, model, work as f32));
     let from = edge.settings().name.clone();
-    let asked = AskedWork {
+    let report = DemandReport {
         from,
         work: work.collect(),
     };
-    tell(edge, &planner, &Packet::Asked(asked));
+    send_to(edge, &planner, &Packet::DemandReport(report));
 }
 
-/// Tells peers how this daemon is.
-pub(crate) fn tell_beat(edge: &Edge, reach: Reach) {
-    tell_peers(edge, &beat(edge), reach);
+/// Sends a heartbeat to peers.
+pub(crate) fn send_heartbeat(edge: &Edge, reach: Reach) {
+    broadcast(edge, &heartbeat(edge), reach);
 }
 
-/// Tells daemons at some addresses, known or not, how this one is.
-pub(crate) fn tell_beat_to(edge: &Edge, addresses: &[SocketAddr]) {
-    send(edge, &beat(edge), addresses.iter().copied());
+/// Sends a heartbeat to some addresses, whether their daemons are known or not.
+pub(crate) fn send_heartbeat_to(edge: &Edge, addresses: &[SocketAddr]) {
+    send(edge, &heartbeat(edge), addresses.iter().copied());
 }
 
-/// Tells the daemon that forms groups at once what this one suspects: until it
-/// has probed the group, others send requests there.
-pub(crate) fn tell_suspects(edge: &Edge) {
+/// Sends this daemon's suspected targets to the planner at once: until the planner has probed the
+/// group, other daemons send requests there.
+pub(crate) fn report_suspects(edge: &Edge) {
     if let Some(planner) = other_planner(edge) {
-        tell(edge, &planner, &beat(edge));
+        send_to(edge, &planner, &heartbeat(edge));
     }
 }
 
-/// Tells a planner in another data centre how this daemon is.
-fn tell_far_planner(edge: &Edge) {
+/// Sends a heartbeat to the planner if it is in another data centre.
+fn send_heartbeat_to_far_planner(edge: &Edge) {
     let Some(planner) = other_planner(edge) else {
         return;
     };
     let far = edge.peers.borrow().is_far(&planner, &edge.settings().hall);
     if far {
-        tell(edge, &planner, &beat(edge));
+        send_to(edge, &planner, &heartbeat(edge));
     }
 }
 
-fn beat(edge: &Edge) -> Packet {
+fn heartbeat(edge: &Edge) -> Packet {
     let now = edge.now();
     let settings = edge.settings();
     let (loads, peers) = (edge.loads.borrow(), edge.peers.borrow());
-    Packet::Beat(Box::new(Beat {
+    Packet::Heartbeat(Box::new(Heartbeat {
         from: settings.name.clone(),
         boot: edge.boot,
         hall: settings.hall.clone(),
@@ -135,29 +136,29 @@
         owns: place::may_own(edge, now),
         counts: loads.counts(),
         suspects: loads.suspects(now),
-        going_on: loads.suspects_with_streams(now),
+        streaming: loads.suspects_with_streams(now),
         slow: loads.slow(now),
-        lease: peers.shown.clone(),
-        dead: peers.dead.clone(),
-        late: peers.late.clone(),
+        lease: peers.lease.clone(),
+        unresponsive: peers.unresponsive.clone(),
+        late_joins: peers.late_joins.clone(),
         targets: follow::known_targets(edge, now),
         verdicts: edge.cases.digest(),
     }))
 }
 
-/// Sends a datagram to the peers within reach that may live.
-pub(crate) fn tell_peers(edge: &Edge, packet: &Packet, reach: Reach) {
+/// Sends a datagram to the peers within reach that count as alive.
+pub(crate) fn broadcast(edge: &Edge, packet: &Packet, reach: Reach) {
     let (peers, hall) = (edge.peers.borrow(), edge.settings().hall.clone());
     send(edge, packet, peers.addresses(edge.now(), &hall, reach));
 }
 
 /// Sends a datagram to one peer.
-pub(crate) fn tell(edge: &Edge, to: &NodeId, packet: &Packet) {
-    tell_each(edge, std::slice::from_ref(to), packet);
+pub(crate) fn send_to(edge: &Edge, to: &NodeId, packet: &Packet) {
+    send_to_each(edge, std::slice::from_ref(to), packet);
 }
 
 /// Sends a datagram to some peers.
-pub(crate) fn tell_each(edge: &Edge, to: &[NodeId], packet: &Packet) {
+pub(crate) fn send_to_each(edge: &Edge, to: &[NodeId], packet: &Packet) {
     let peers = edge.peers.borrow();
     let to = to.iter().filter_map(|name| peers.address(name));
     send(edge, packet, to);
@@ -175,7 +176,7 @@
             log::debug!("peers: {address}: {error}");
         }
     }
-    edge.traffic.note(packet.kind(), count, bytes.len());
+    edge.traffic.record(packet.kind(), count, bytes.len());
 }
 
 fn encode(packet: &Packet) -> Option<Vec<u8>> {
@@ -187,13 +188,13 @@
             None
         }
         Err(error) => {
-            log::error!("peers: a datagram was not encoded: {error}");
+            log::error!("peers: cannot encode a datagram: {error}");
             None
         }
     }
 }
 
-async fn listen(edge: Rc<Edge>) {
+async fn receive(edge: Rc<Edge>) {
     let Some(socket) = edge.peers.borrow().socket.clone() else {
         return;
     };
@@ -207,21 +208,24 @@
             }
         };
         match postcard::from_bytes::<Packet>(&buffer[..length]) {
-            Ok(Packet::Beat(beat)) => hear_beat(&edge, *beat, from),
-            Ok(Packet::Ask(ask)) => follow::answer(&edge, &ask),
-            Ok(Packet::Vouch(vouch)) => follow::take_vouch(&edge, &vouch),
-            Ok(Packet::Changes(changes)) => follow::take_changes(&edge, changes),
-            Ok(Packet::Place(ask)) => place::answer(&edge, &ask),
-            Ok(Packet::Placed(reply)) => place::take_reply(&edge, reply),
-            Ok(Packet::Counts(counts)) => place::hear_counts(&edge, counts),
-            Ok(Packet::Totals(totals)) => place::hear_totals(&edge, totals),
+            Ok(Packet::Heartbeat(heartbeat)) => receive_heartbeat(&edge, *heartbeat, from),
+            Ok(Packet::FreshnessRequest(request)) => follow::answer(&edge, &request),
+            Ok(Packet::FreshnessReply(reply)) => follow::receive_reply(&edge, &reply),
+            Ok(Packet::Changes(changes)) => follow::receive_changes(&edge, changes),
+            Ok(Packet::Place(request)) => place::answer(&edge, &request),
+            Ok(Packet::Placed(reply)) => place::receive_reply(&edge, reply),
+            Ok(Packet::Counts(counts)) => place::receive_counts(&edge, counts),
+            Ok(Packet::Totals(totals)) => place::receive_totals(&edge, totals),
             Ok(Packet::Lost(lost)) => quarantine::hear_lost(&edge, &lost),
             Ok(Packet::Verdicts(verdicts)) => quarantine::hear_verdicts(&edge, &verdicts),
-            Ok(Packet::AskVerdicts(peer)) => quarantine::answer(&edge, &peer),
+            Ok(Packet::VerdictsRequest(peer)) => quarantine::answer(&edge, &peer),
             Ok(Packet::Limits(told)) => limits::hear(&edge, &told),
-            Ok(Packet::AskGrant(ask)) => limits::answer(&edge, &ask),
+            Ok(Packet::GrantRequest(request)) => limits::answer(&edge, &request),
             Ok(Packet::Grant(reply)) => limits::take_reply(&edge, reply),
-            Ok(Packet::Asked(asked)) => edge.peers.borrow_mut().hear_asked(asked, edge.now()),
+            Ok(Packet::DemandReport(report)) => edge
+                .peers
+                .borrow_mut()
+                .record_demand_report(report, edge.now()),
             Err(error) => {
                 metrics::counter!("thistlesill_edge_datagrams_refused_total").increment(1);
                 log::debug!("peers: {from}: {error}");
@@ -230,33 +234,36 @@
     }
 }
 
-fn hear_beat(edge: &Edge, beat: Beat, from: SocketAddr) {
+fn receive_heartbeat(edge: &Edge, heartbeat: Heartbeat, from: SocketAddr) {
     let now = edge.now();
-    if beat.from == edge.settings().name {
+    if heartbeat.from == edge.settings().name {
         return;
     }
-    let news = edge.peers.borrow_mut().hear(&beat, from, now);
-    if news == News::Peer {
+    let change = edge
+        .peers
+        .borrow_mut()
+        .apply_heartbeat(&heartbeat, from, now);
+    if change == PeerChange::Started {
         edge.peer_heard.notify_one();
-        limits::tell_new_peer(edge, &beat.from);
+        limits::tell_new_peer(edge, &heartbeat.from);
     }
-    if news != News::Nothing && beat.store == StoreUse::Reads {
-        follow::hear_reader(edge, &beat.from);
+    if change != PeerChange::Unchanged && heartbeat.store == StoreUse::Reads {
+        follow::request_from_new_reader(edge, &heartbeat.from);
     }
-    if let Some(known) = beat.targets {
-        follow::hear_known(edge, &beat.from, known);
+    if let Some(known) = heartbeat.targets {
+        follow::receive_known_targets(edge, &heartbeat.from, known);
     }
-    quarantine::hear_digest(edge, &beat.from, beat.verdicts);
-    let doubt = !beat.suspects.is_empty() || !beat.slow.is_empty();
-    if doubt && edge.plans.get() {
+    quarantine::hear_digest(edge, &heartbeat.from, heartbeat.verdicts);
+    let has_suspects = !heartbeat.suspects.is_empty() || !heartbeat.slow.is_empty();
+    if has_suspects && edge.plans.get() {
         edge.fleet_news.notify_one();
     }
-    let counts = beat.counts.into_iter().collect();
+    let counts = heartbeat.counts.into_iter().collect();
     let until = now + edge.trust();
     edge.loads
         .borrow_mut()
-        .set_peer_counts(&beat.from, counts, until);
-    for target in &beat.dead {
+        .set_peer_counts(&heartbeat.from, counts, until);
+    for target in &heartbeat.unresponsive {
         if edge.book.borrow().is_current(target) {
             edge.suspect(target, "it answered no probe of the planner");
         }
--- a/crates/thistlesill-edge/src/peers/packet.rs
+++ b/crates/thistlesill-edge/src/peers/packet.rs
@@ -1,4 +1,4 @@
-//! Datagrams between daemons.
+//! The datagrams between daemons.
 
 use serde::{Deserialize, Serialize};
 use thistlesill_core::edge::{Evacuations, GroupRef, TargetId};
@@ -8,192 +8,190 @@
 use thistlesill_policy::edge::load::Work;
 use thistlesill_policy::lease::LeaseSnapshot;
 
-/// One datagram.
+/// One datagram, encoded by postcard.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) enum Packet {
-    /// How the sender is; goes to all.
-    Beat(Box<Beat>),
-    /// A question to a daemon that reads the store.
-    Ask(Ask),
-    /// The answer.
-    Vouch(Vouch),
+    /// The sender's state; goes to all daemons.
+    Heartbeat(Box<Heartbeat>),
+    /// Asks a daemon that reads the store for a proof of freshness.
+    FreshnessRequest(FreshnessRequest),
+    /// The answer to [`Packet::FreshnessRequest`].
+    FreshnessReply(FreshnessReply),
     /// Changes of targets.
     Changes(Changes),
     /// Asks the owner of a scope for a target.
-    Place(PlaceAsk),
-    /// The answer.
+    Place(PlaceRequest),
+    /// The answer to [`Packet::Place`].
     Placed(PlaceReply),
-    /// The sender's requests by target; goes to the owner whose targets' changed.
+    /// The sender's requests by target; goes to the owner of the targets whose requests changed.
     Counts(Counts),
-    /// All work at the targets of an owner; goes to those of its data centre, and to
-    /// the owners of others.
+    /// All work at the targets of an owner; goes to the daemons of its data centre, and to the
+    /// owners in other data centres.
     Totals(Totals),
-    /// What callers ask the sender for; goes to the daemon that forms groups.
-    Asked(AskedWork),
-    /// Targets that the sender lost, and the requests that were there; goes to all.
+    /// The demand of the sender's callers; goes to the planner.
+    DemandReport(DemandReport),
+    /// Targets that the sender lost, and the requests that were there; goes to all daemons.
     Lost(Vec<(Fingerprint, TargetId)>),
-    /// What was decided of requests that end targets; goes to all, or to who asked.
+    /// Verdicts on requests that crash targets; goes to all daemons, or to the daemon that asked.
     Verdicts(Vec<Verdict>),
-    /// Asks for all verdicts, for this daemon.
-    AskVerdicts(NodeId),
-    /// Limits of targets; go to all.
-    Limits(ToldLimits),
-    /// Asks a target's keeper whether a request may be sent there.
-    AskGrant(GrantAsk),
-    /// The answer.
+    /// Asks for all verdicts, on behalf of the named daemon.
+    VerdictsRequest(NodeId),
+    /// Limits of targets; goes to all daemons.
+    Limits(LimitUpdates),
+    /// Asks the bucket owner of a target whether a request may be sent there.
+    GrantRequest(GrantRequest),
+    /// The answer to [`Packet::GrantRequest`].
     Grant(GrantReply),
 }
 
 impl Packet {
-    /// The kind's name in logs and metrics.
+    /// Returns the name of the datagram's kind in logs and metrics.
     pub(crate) const fn kind(&self) -> &'static str {
         match self {
-            Self::Beat(_) => "beat",
-            Self::Ask(_) => "ask",
-            Self::Vouch(_) => "vouch",
+            Self::Heartbeat(_) => "beat",
+            Self::FreshnessRequest(_) => "ask",
+            Self::FreshnessReply(_) => "vouch",
             Self::Changes(_) => "changes",
             Self::Place(_) => "place",
             Self::Placed(_) => "placed",
             Self::Counts(_) => "counts",
             Self::Totals(_) => "totals",
-            Self::Asked(_) => "asked",
+            Self::DemandReport(_) => "asked",
             Self::Lost(_) => "lost",
             Self::Verdicts(_) => "verdicts",
-            Self::AskVerdicts(_) => "ask_verdicts",
+            Self::VerdictsRequest(_) => "ask_verdicts",
             Self::Limits(_) => "limits",
-            Self::AskGrant(_) => "ask_grant",
+            Self::GrantRequest(_) => "ask_grant",
             Self::Grant(_) => "grant",
         }
     }
 }
 
-/// What a daemon has to do with the store; in the order in which others prefer
-/// to depend on it.
+/// How a daemon follows the store, ordered by how much other daemons prefer to depend on it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(crate) enum StoreUse {
-    /// It reads the store itself.
+    /// The daemon reads the store itself.
     Reads,
-    /// It asks others.
+    /// The daemon asks its peers.
     Asks,
-    /// Its last question to the store brought no answer.
-    Away,
+    /// The store did not answer the daemon's last request.
+    Unreachable,
 }
 
-/// What a daemon tells its peers.
+/// The state that a daemon sends to its peers.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub(crate) struct Beat {
+pub(crate) struct Heartbeat {
     pub(crate) from: NodeId,
-    /// Differs with each start of the sender.
+    /// A random number that differs with each start of the sender.
     pub(crate) boot: u64,
     pub(crate) hall: HallId,
-    /// What it has to do with the store.
+    /// How the sender follows the store.
     pub(crate) store: StoreUse,
-    /// What its machine's connection bears, in Mbit a second.
+    /// Bandwidth of the network connection of the sender's instance, in Mbit/s.
     pub(crate) link: u32,
-    /// Whether it forms groups.
+    /// Whether the sender forms groups.
     pub(crate) plans: bool,
-    /// Whether any caller has sent a request since its start.
+    /// Whether any caller has sent a request since the sender's start.
     pub(crate) busy: bool,
-    /// Whether it may own scopes: it does not stop, and has heard of its peers' load.
+    /// Whether the sender may own scopes: it is not stopping, and has received its peers' load.
     pub(crate) owns: bool,
-    /// Its requests by target.
+    /// The sender's requests by target.
     pub(crate) counts: Vec<(TargetId, Work)>,
-    /// Targets that stopped answering it.
+    /// Targets that stopped answering the sender.
     pub(crate) suspects: Vec<TargetId>,
-    /// Those of the suspected targets whose streams to the sender go on.
-    pub(crate) going_on: Vec<TargetId>,
+    /// The suspected targets that still send streams to the sender.
+    pub(crate) streaming: Vec<TargetId>,
     /// Targets whose streams are slow.
     pub(crate) slow: Vec<TargetId>,
     /// As planner: the lease.
     pub(crate) lease: Option<LeaseSnapshot>,
     /// As planner: targets that answered no probe.
-    pub(crate) dead: Vec<TargetId>,
-    /// Groups whose members may be joined late; `None` if it does not know of all.
-    pub(crate) late: Option<Vec<GroupRef>>,
-    /// What it read of the targets itself, if it did a short time ago.
+    pub(crate) unresponsive: Vec<TargetId>,
+    /// Groups whose members may be joined late; `None` if the sender does not know of all.
+    pub(crate) late_joins: Option<Vec<GroupRef>>,
+    /// What the sender itself has recently read of the targets.
     pub(crate) targets: Option<KnownTargets>,
-    /// Digest of the verdicts that it knows; 0 without any.
+    /// Digest of the verdicts that the sender knows; 0 without any.
     pub(crate) verdicts: u64,
 }
 
 /// Asks for a target for one request.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub(crate) struct PlaceAsk {
+pub(crate) struct PlaceRequest {
     pub(crate) from: NodeId,
-    /// Comes back in the answer.
+    /// Number of the request, repeated in the reply.
     pub(crate) id: u64,
     pub(crate) service: ServiceName,
     pub(crate) model: Option<Model>,
-    /// Tokens of the prompt.
+    /// Number of tokens of the prompt.
     pub(crate) prompt: u32,
     /// The latency objective.
     pub(crate) aim: Millis,
-    /// Whether the request may be told to come back.
+    /// Whether the caller may be asked to retry later.
     pub(crate) first: bool,
-    /// Targets that it was sent to, and those that the asker passes over.
+    /// Targets that the request was sent to before, and those that the sender avoids.
     pub(crate) avoid: Vec<TargetId>,
 }
 
-/// What an owner decided.
+/// The decision of an owner.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct PlaceReply {
     pub(crate) from: NodeId,
-    /// That of the question.
+    /// The number in the [`PlaceRequest`].
     pub(crate) id: u64,
-    pub(crate) placed: Placed,
+    pub(crate) placement: Placement,
 }
 
-/// Whether a request that was placed at a target may be sent there, as far as the target's
-/// limit goes.
+/// Whether a request that was placed at a target still needs a grant under the target's limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Permit {
-    /// It may: who placed it knows of no limit.
+    /// No grant is needed: the daemon that placed the request knows of no limit.
     NotNeeded,
-    /// It may: who placed it grants the target's requests.
-    Given,
-    /// Another daemon grants them.
+    /// The daemon that placed the request owns the target's bucket and has granted the request.
+    Granted,
+    /// Another daemon owns the target's bucket and must grant the request.
     Needed,
 }
 
 /// Where a request goes.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub(crate) enum Placed {
-    /// To this target, which counts it from now on.
+pub(crate) enum Placement {
+    /// To this target; the owner counts the request there from now on.
     At(TargetId, Permit),
-    /// Nowhere now: it would begin too late by this much.
+    /// Nowhere now: the request would begin too late by this much.
     Overloaded(Millis),
-    /// Nowhere now: the targets' limits leave room for it after this time.
-    Spent(Millis),
-    /// Nowhere: no target serves what it asks for.
-    Nobody,
+    /// Nowhere now: the targets' limits admit the request after this time.
+    Exhausted(Millis),
+    /// Nowhere: no target serves the model or service.
+    NoTarget,
 }
 
 /// Limits of targets as a daemon knows them.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub(crate) struct ToldLimits {
+pub(crate) struct LimitUpdates {
     pub(crate) from: NodeId,
     pub(crate) list: Vec<LimitUpdate>,
 }
 
-/// Asks a target's keeper whether a request may be sent there.
+/// Asks a target's bucket owner whether a request may be sent there.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub(crate) struct GrantAsk {
+pub(crate) struct GrantRequest {
     pub(crate) from: NodeId,
-    /// Comes back in the answer.
+    /// Number of the request, repeated in the reply.
     pub(crate) id: u64,
     pub(crate) target: TargetId,
-    /// What the asker knows of the target's limit.
+    /// What the sender knows of the target's limit.
     pub(crate) known: Option<LimitUpdate>,
 }
 
-/// What a keeper decided.
+/// The decision of a bucket owner.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct GrantReply {
     pub(crate) from: NodeId,
-    /// That of the question.
+    /// The number in the [`GrantRequest`].
     pub(crate) id: u64,
     pub(crate) grant: Grant,
-    /// What the keeper knows of the target's limit.
+    /// What the owner knows of the target's limit.
     pub(crate) known: Option<LimitUpdate>,
 }
 
@@ -210,67 +208,67 @@
     pub(crate) list: Vec<(TargetId, Work)>,
 }
 
-/// Says that a daemon knows all changes of targets up to a moment.
+/// The point up to which a daemon knows all changes of targets.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub(crate) struct KnownTargets {
     /// The version of the newest change.
     pub(crate) newest: u64,
-    /// How long ago the daemon asked the store for it.
+    /// How long ago the sender asked the store for that change.
     pub(crate) age: Millis,
 }
 
 /// The work that callers ask a daemon for.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub(crate) struct AskedWork {
+pub(crate) struct DemandReport {
     pub(crate) from: NodeId,
-    /// By service and model; 1 keeps one group fully busy.
+    /// Work by service and model; 1 keeps one group fully busy.
     pub(crate) work: Vec<(ServiceName, Model, f32)>,
 }
 
 /// Asks how fresh another daemon's knowledge is.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub(crate) struct Ask {
+pub(crate) struct FreshnessRequest {
     pub(crate) from: NodeId,
-    /// When it was asked, on the asker's clock; comes back in the answer.
-    pub(crate) asked: Millis,
-    /// The version of the targets that the asker knows.
+    /// When the request was sent, on the sender's clock; repeated in the reply.
+    pub(crate) asked_at: Millis,
+    /// The version of the targets that the sender knows.
     pub(crate) targets: u64,
 }
 
-/// Vouches for a catalog.
+/// Proof that a catalog was the newest at a certain time.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub(crate) struct Vouch {
-    /// Who vouches, and has that catalog.
+pub(crate) struct FreshnessReply {
+    /// The daemon that sends the proof and has that catalog.
     pub(crate) from: NodeId,
-    /// The asker's time of the question. The proof is at least as young as
-    /// `age` at that moment, however long the datagrams took.
-    pub(crate) asked: Millis,
+    /// The time in the [`FreshnessRequest`]. The proof is at least as young as `age` at that
+    /// moment, however long the datagrams took.
+    pub(crate) asked_at: Millis,
     /// The version of the catalog that was the newest.
     pub(crate) catalog: u64,
-    /// The age of the proof when the answer was sent.
+    /// The age of the proof when the reply was sent.
     pub(crate) age: Millis,
-    /// Who knows the targets at an older version must read them whole.
+    /// A daemon that knows the targets at an older version must read all of them.
     pub(crate) floor: u64,
     /// The data centres that are evacuated, as of that proof or later.
     pub(crate) evacuated: Evacuations,
 }
 
-/// Changes of targets on their way.
+/// Changes of targets that a daemon sends or forwards.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct Changes {
     pub(crate) batch: Batch,
-    /// Who read or keeps them.
+    /// The daemon that sent or forwarded the changes, and can be asked for missed ones.
     pub(crate) from: NodeId,
-    /// Whom they are to be passed on to.
-    pub(crate) pass: Pass,
+    /// The daemons that the receiver forwards the changes to.
+    pub(crate) forwarding: Forwarding,
 }
 
-/// Whom changes are to be passed on to.
+/// The daemons that the receiver forwards changes to.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) enum Pass {
-    /// Nobody.
+pub(crate) enum Forwarding {
+    /// None.
     Nobody,
-    /// All of the data centre of who gets them.
+    /// All daemons of the receiver's data centre.
     Hall,
     /// These daemons.
     To(Vec<NodeId>),
--- a/crates/thistlesill-edge/src/peers/place.rs
+++ b/crates/thistlesill-edge/src/peers/place.rs
@@ -1,8 +1,8 @@
-//! Where a request goes, as the owner of its scope decides.
+//! Decides where a request goes: the owner of the request's scope places it.
 //!
-//! A daemon asks the owner with one datagram and has the answer in less than a
-//! millisecond. Without an answer in time it decides by itself, on what it was told
-//! of the load; the request is never lost, and at worst goes to a busier group.
+//! A daemon asks the owner with one datagram and has the reply in less than a millisecond. Without
+//! a reply in time it decides by itself, from the load that it last received; the request is never
+//! lost, and at worst goes to a busier group.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -15,42 +15,42 @@
 use thistlesill_policy::edge::load::{Knowledge, Work};
 use thistlesill_policy::edge::owner::{OwnerHealth, Scope};
 
-use super::packet::{Counts, Packet, Permit, PlaceAsk, PlaceReply, Placed, Totals};
-use super::questions::{self, Questions};
+use super::packet::{Counts, Packet, Permit, PlaceReply, PlaceRequest, Placement, Totals};
+use super::questions::{self, PendingReplies};
 use super::{Reach, link};
 use crate::limits;
 use crate::state::{Asking, Choice, Edge, Pick, PlacedBy};
 
-/// Time after its start in which a daemon has heard what its peers have under way.
-const LEARN: Millis = Millis::new(1_200);
-/// Between two tellings of all work at an owner's targets.
-const TELL: Duration = Duration::from_millis(250);
-/// How long what an owner told is believed: two tellings to the own data centre.
-const BELIEVE: Millis = Millis::new(1_100);
-/// Rounds of telling between two to the own data centre, where the totals are only
-/// needed when the owner does not answer.
-const NEAR_ROUNDS: u32 = 2;
-/// Targets whose keepers may deny a request before it is refused: each may cost the time
-/// of a question.
-const MAX_DENIED: usize = 4;
-/// Targets that are told of in one datagram.
-const MAX_TOLD: usize = 100;
+/// Time after its start until a daemon has received the requests in progress of its peers.
+const LEARNING_PERIOD: Millis = Millis::new(1_200);
+/// Time between two rounds in which an owner sends the work at its targets.
+const TOTALS_INTERVAL: Duration = Duration::from_millis(250);
+/// How long received totals stay valid: two rounds to the own data centre.
+const TOTALS_VALIDITY: Millis = Millis::new(1_100);
+/// One in this many rounds also goes to the own data centre, where the totals are only needed when
+/// the owner does not answer.
+const NEAR_TOTALS_ROUNDS: u32 = 2;
+/// Targets whose bucket owners may deny a request before the request is refused: each may cost the
+/// time of a round trip.
+const MAX_DENIALS: usize = 4;
+/// Targets in one datagram.
+const MAX_TOTALS_PER_DATAGRAM: usize = 100;
 
-/// Questions to owners that are under way, and who owns what.
+/// Unanswered requests to owners, and the owner of each scope.
 #[derive(Debug, Default)]
-pub(crate) struct Placing {
-    questions: Questions<Placed>,
-    answering: OwnerHealth,
-    /// Owners as they were computed a moment ago.
+pub(crate) struct PlacementState {
+    questions: PendingReplies<Placement>,
+    owner_health: OwnerHealth,
+    /// Owners of scopes, computed at most one round ago.
     owners: HashMap<Scope, Option<NodeId>>,
 }
 
-/// Whether this daemon may own scopes.
+/// Returns whether this daemon may own scopes.
 pub(crate) fn may_own(edge: &Edge, now: Millis) -> bool {
-    edge.stopping.get().is_none() && now - edge.started >= LEARN
+    edge.stopping.get().is_none() && now - edge.started >= LEARNING_PERIOD
 }
 
-/// The owner of a scope, if one is known.
+/// Returns the owner of a scope, if one is known.
 pub(crate) fn owner(edge: &Edge, scope: &Scope) -> Option<NodeId> {
     if let Some(known) = edge.placing.borrow().owners.get(scope) {
         return known.clone();
@@ -67,7 +67,7 @@
     owner
 }
 
-/// The first daemon for a scope among all that live, of whichever data centre.
+/// Returns the owner that a scope would have among all live daemons of all data centres.
 pub(crate) fn owner_anywhere(edge: &Edge, scope: &Scope) -> Option<NodeId> {
     let now = edge.now();
     let settings = edge.settings();
@@ -77,13 +77,13 @@
     owner.cloned()
 }
 
-/// Picks a target for a request, or has its owner do so; one that names a limit only with
-/// a grant of its keeper.
+/// Picks a target for a request, or has the owner of its scope pick one. A target with a limit is
+/// picked only with a grant of its bucket owner.
 pub(crate) async fn pick(edge: &Edge, asking: Asking<'_>) -> Pick {
     let mut by = PlacedBy::Alone;
-    for _ in 0..MAX_DENIED {
+    for _ in 0..MAX_DENIALS {
         let asked = edge.now();
-        let (choice, permit, placed) = pick_or_ask(edge, &asking).await;
+        let (choice, permit, placed) = place(edge, &asking).await;
         by = placed;
         let clearance = match &choice {
             Choice::Target(target) => limits::clear(edge, target, permit, asked).await,
@@ -105,10 +105,10 @@
     }
 }
 
-async fn pick_or_ask(edge: &Edge, asking: &Asking<'_>) -> (Choice, Permit, PlacedBy) {
+async fn place(edge: &Edge, asking: &Asking<'_>) -> (Choice, Permit, PlacedBy) {
     let settings = edge.settings();
     let scope = Scope {
-        hall: serving_hall(edge, asking),
+        hall: placing_hall(edge, asking),
         service: asking.service.name.clone(),
         model: asking.served_model().cloned(),
     };
@@ -118,7 +118,7 @@
         return (choice, Permit::NotNeeded, PlacedBy::Itself);
     }
     if let Some(owner) = owner
-        && let Some((choice, permit)) = ask(edge, &owner, &scope, asking).await
+        && let Some((choice, permit)) = ask_owner(edge, &owner, &scope, asking).await
     {
         return (choice, permit, PlacedBy::Owner);
     }
@@ -126,10 +126,10 @@
     (choice, Permit::NotNeeded, PlacedBy::Alone)
 }
 
-/// The data centre whose owner places a request: this daemon's, or while that one is
-/// evacuated another, drawn by the targets that serve there. An owner knows the load of its
-/// own data centre exactly, and of others only what was told.
-fn serving_hall(edge: &Edge, asking: &Asking<'_>) -> HallId {
+/// Returns the data centre whose owner places a request: this daemon's, or while that one is
+/// evacuated another one, drawn in proportion to the targets that serve there. An owner knows the
+/// load of its own data centre exactly, and of others only what it last received.
+fn placing_hall(edge: &Edge, asking: &Asking<'_>) -> HallId {
     let hall = edge.settings().hall.clone();
     let book = edge.book.borrow();
     if !book.is_evacuated(&hall) {
@@ -140,23 +140,23 @@
     drawn.map_or(hall, |target| target.hall.clone())
 }
 
-/// Asks an owner; `None` if it does not answer, or with a target that this daemon
-/// does not know.
-async fn ask(
+/// Asks an owner for a target. Returns `None` if the owner does not answer, or answers with a
+/// target that this daemon does not know.
+async fn ask_owner(
     edge: &Edge,
     owner: &NodeId,
     scope: &Scope,
     asking: &Asking<'_>,
 ) -> Option<(Choice, Permit)> {
     let now = edge.now();
-    if !edge.placing.borrow().answering.may_ask(owner, now) {
+    if !edge.placing.borrow().owner_health.may_ask(owner, now) {
         return None;
     }
     let (id, answer) = edge.placing.borrow_mut().questions.begin();
     let mut avoid = asking.tried.to_vec();
     avoid.extend(edge.loads.borrow().suspects(now));
     avoid.extend(edge.limits.spent(now));
-    let question = PlaceAsk {
+    let request = PlaceRequest {
         from: edge.settings().name.clone(),
         id,
         service: scope.service.clone(),
@@ -166,96 +166,96 @@
         first: asking.first,
         avoid,
     };
-    link::tell(edge, owner, &Packet::Place(question));
-    let Some(placed) = questions::in_time(answer).await else {
+    link::send_to(edge, owner, &Packet::Place(request));
+    let Some(placement) = questions::in_time(answer).await else {
         metrics::counter!("thistlesill_edge_owner_misses_total").increment(1);
         edge.placing
             .borrow_mut()
-            .answering
+            .owner_health
             .missed(owner, edge.now());
         return None;
     };
-    let choice = match placed {
-        Placed::At(id, permit) => {
-            let target = known(edge, scope, &id)?;
+    let choice = match placement {
+        Placement::At(id, permit) => {
+            let target = known_target(edge, scope, &id)?;
             return Some((Choice::Target(Box::new(target)), permit));
         }
-        Placed::Overloaded(late) => Some(Choice::Overloaded(late)),
-        Placed::Spent(wait) => Some(Choice::Spent(wait)),
-        // The owner may lag behind; this daemon may know better.
-        Placed::Nobody => None,
+        Placement::Overloaded(late) => Some(Choice::Overloaded(late)),
+        Placement::Exhausted(wait) => Some(Choice::Spent(wait)),
+        // The owner may lag behind this daemon.
+        Placement::NoTarget => None,
     };
     choice.map(|choice| (choice, Permit::NotNeeded))
 }
 
-fn known(edge: &Edge, scope: &Scope, id: &TargetId) -> Option<Target> {
+fn known_target(edge: &Edge, scope: &Scope, id: &TargetId) -> Option<Target> {
     let book = edge.book.borrow();
     let serving = book.serving(&scope.service, scope.model.as_ref());
     let target = serving.iter().find(|t| t.id == *id);
     target.map(|t| Target::clone(t))
 }
 
-impl Placing {
-    /// Forgets who owns what, so that it is computed from whom is heard now, and
-    /// questions that nobody waits for.
-    fn tidy(&mut self) {
+impl PlacementState {
+    /// Forgets the computed owners, so that they are computed again from the peers that are alive
+    /// now, and the requests whose replies no task waits for.
+    fn remove_stale(&mut self) {
         self.owners.clear();
-        self.questions.tidy();
+        self.questions.remove_closed();
     }
 }
 
 /// As owner: places a request of a peer.
-pub(crate) fn answer(edge: &Edge, ask: &PlaceAsk) {
+pub(crate) fn answer(edge: &Edge, request: &PlaceRequest) {
     let Some(catalog) = edge.catalog() else {
         return;
     };
-    let Some(service) = catalog.service(&ask.service) else {
+    let Some(service) = catalog.service(&request.service) else {
         return;
     };
     let asking = Asking {
         service,
-        model: ask.model.as_ref(),
-        prompt: ask.prompt,
-        aim: ask.aim,
-        tried: &ask.avoid,
-        first: ask.first,
+        model: request.model.as_ref(),
+        prompt: request.prompt,
+        aim: request.aim,
+        tried: &request.avoid,
+        first: request.first,
     };
     let choice = edge.pick(&asking, Knowledge::Exact);
-    let placed = match choice {
+    let placement = match choice {
         Choice::Target(target) => {
             let until = edge.now() + edge.trust();
             let mut loads = edge.loads.borrow_mut();
-            loads.add_granted(&ask.from, &target.id, ask.prompt, until);
+            loads.add_granted(&request.from, &target.id, request.prompt, until);
             let permit = match edge.limits.take(&target.id, edge.now()) {
                 Grant::Unlimited => Permit::NotNeeded,
-                Grant::Granted => Permit::Given,
+                Grant::Granted => Permit::Granted,
                 Grant::NotOwner | Grant::Exhausted(_) => Permit::Needed,
             };
-            Placed::At(target.id.clone(), permit)
+            Placement::At(target.id.clone(), permit)
         }
-        Choice::Overloaded(late) => Placed::Overloaded(late),
-        Choice::Spent(wait) => Placed::Spent(wait),
-        Choice::Nobody => Placed::Nobody,
+        Choice::Overloaded(late) => Placement::Overloaded(late),
+        Choice::Spent(wait) => Placement::Exhausted(wait),
+        Choice::Nobody => Placement::NoTarget,
     };
     let reply = PlaceReply {
         from: edge.settings().name.clone(),
-        id: ask.id,
-        placed,
+        id: request.id,
+        placement,
     };
-    link::tell(edge, &ask.from, &Packet::Placed(reply));
+    link::send_to(edge, &request.from, &Packet::Placed(reply));
 }
 
-/// Takes in an owner's answer.
-pub(crate) fn take_reply(edge: &Edge, reply: PlaceReply) {
+/// Receives an owner's reply.
+pub(crate) fn receive_reply(edge: &Edge, reply: PlaceReply) {
     let mut placing = edge.placing.borrow_mut();
-    placing.answering.answered(&reply.from);
-    // Of one that comes too late the owner forgets the place with this daemon's next
-    // counts.
-    placing.questions.answered(reply.id, reply.placed);
+    placing.owner_health.answered(&reply.from);
+    // If the reply comes too late, the owner drops the placement when it receives this daemon's
+    // next counts.
+    placing.questions.resolve(reply.id, reply.placement);
 }
 
-/// Tells the owner of a scope of this daemon's requests, one of which changed there.
-pub(crate) fn tell_counts(edge: &Edge, scope: &Scope) {
+/// Sends this daemon's requests to the owner of a scope after one of them changed there.
+pub(crate) fn send_counts(edge: &Edge, scope: &Scope) {
     let settings = edge.settings();
     let Some(owner) = owner(edge, scope).filter(|o| *o != settings.name) else {
         return;
@@ -264,11 +264,11 @@
         from: settings.name.clone(),
         counts: edge.loads.borrow().counts(),
     };
-    link::tell(edge, &owner, &Packet::Counts(counts));
+    link::send_to(edge, &owner, &Packet::Counts(counts));
 }
 
-/// As owner: takes in a peer's requests.
-pub(crate) fn hear_counts(edge: &Edge, counts: Counts) {
+/// As owner: receives the requests of a peer.
+pub(crate) fn receive_counts(edge: &Edge, counts: Counts) {
     let until = edge.now() + edge.trust();
     let list = counts.counts.into_iter().collect();
     edge.loads
@@ -276,29 +276,29 @@
         .set_peer_counts(&counts.from, list, until);
 }
 
-/// Takes in what an owner told of the work at its targets.
-pub(crate) fn hear_totals(edge: &Edge, totals: Totals) {
-    let until = edge.now() + BELIEVE;
+/// Receives the totals that an owner sent for its targets.
+pub(crate) fn receive_totals(edge: &Edge, totals: Totals) {
+    let until = edge.now() + TOTALS_VALIDITY;
     let mut loads = edge.loads.borrow_mut();
     for (id, work) in totals.list {
         loads.set_total(id, work, until);
     }
 }
 
-/// As owner: tells others of the work at its targets, for ever.
+/// As owner: sends the work at its targets to other daemons, without end.
 pub(crate) async fn run(edge: Rc<Edge>) {
     let mut rounds = 0;
     loop {
-        tokio::time::sleep(TELL).await;
-        edge.placing.borrow_mut().tidy();
+        tokio::time::sleep(TOTALS_INTERVAL).await;
+        edge.placing.borrow_mut().remove_stale();
         if edge.busy.get() || edge.peers.borrow().any_busy() {
             rounds += 1;
-            tell_totals(&edge, rounds % NEAR_ROUNDS == 0);
+            send_totals(&edge, rounds % NEAR_TOTALS_ROUNDS == 0);
         }
     }
 }
 
-fn tell_totals(edge: &Edge, near: bool) {
+fn send_totals(edge: &Edge, near: bool) {
     let settings = edge.settings();
     let Some(catalog) = edge.catalog() else {
         return;
@@ -316,13 +316,13 @@
                 model,
             };
             if owner(edge, &scope).as_ref() == Some(&settings.name) {
-                tell_scope(edge, &scope, near);
+                send_scope_totals(edge, &scope, near);
             }
         }
     }
 }
 
-fn tell_scope(edge: &Edge, scope: &Scope, near: bool) {
+fn send_scope_totals(edge: &Edge, scope: &Scope, near: bool) {
     let (own, far) = work_by_hall(edge, scope);
     for hall in &far.halls {
         let other = Scope {
@@ -330,25 +330,25 @@
             ..scope.clone()
         };
         if let Some(owner) = owner(edge, &other) {
-            tell_list(&own, |packet| link::tell(edge, &owner, packet));
+            send_totals_list(&own, |packet| link::send_to(edge, &owner, packet));
         }
     }
     if near {
         let all = [own, far.list].concat();
-        tell_list(&all, |packet| link::tell_peers(edge, packet, Reach::Near));
+        send_totals_list(&all, |packet| link::broadcast(edge, packet, Reach::Near));
     }
 }
 
 /// Work at the targets of other data centres.
 #[derive(Debug, Default)]
-struct Far {
+struct FarWork {
     halls: Vec<HallId>,
     list: Vec<(TargetId, Work)>,
 }
 
-fn work_by_hall(edge: &Edge, scope: &Scope) -> (Vec<(TargetId, Work)>, Far) {
+fn work_by_hall(edge: &Edge, scope: &Scope) -> (Vec<(TargetId, Work)>, FarWork) {
     let (book, loads, now) = (edge.book.borrow(), edge.loads.borrow(), edge.now());
-    let (mut own, mut far) = (Vec::new(), Far::default());
+    let (mut own, mut far) = (Vec::new(), FarWork::default());
     for target in book.serving(&scope.service, scope.model.as_ref()) {
         let work = (target.id.clone(), loads.work(&target.id, now));
         if target.hall == scope.hall {
@@ -363,9 +363,9 @@
     (own, far)
 }
 
-fn tell_list(list: &[(TargetId, Work)], tell: impl Fn(&Packet)) {
-    for part in list.chunks(MAX_TOLD) {
+fn send_totals_list(list: &[(TargetId, Work)], send: impl Fn(&Packet)) {
+    for part in list.chunks(MAX_TOTALS_PER_DATAGRAM) {
         let list = part.to_vec();
-        tell(&Packet::Totals(Totals { list }));
+        send(&Packet::Totals(Totals { list }));
     }
 }
--- a/crates/thistlesill-edge/src/peers/roster.rs
+++ b/crates/thistlesill-edge/src/peers/roster.rs
@@ -1,14 +1,15 @@
-//! How daemons come to know each other.
+//! How daemons discover each other.
 //!
-//! A daemon that starts tells the seeds of its settings of itself and has the list of all
-//! daemons from one of them. After that daemons know each other by their beats: of two that
-//! start at the same moment at least one has the other in its list, and its beat tells the
-//! other.
+//! A daemon that starts announces itself to the seeds of its settings and fetches the list of all
+//! daemons from one of them. After that daemons discover each other by their heartbeats: of two
+//! that start at the same moment at least one has the other in its list, and its heartbeat reaches
+//! the other.
 //!
-//! The first daemons of each data centre also have rows in the store, for the case that all
-//! daemons start again at once, and for those whose seeds are all down: they ask those. Who finds nobody there either, or has no seeds at all, writes
-//! a row of its own and reads the list of all. With a row and two pages of the list for each of
-//! 984 daemons, which the store takes in at 200 a second, the start of a fleet made 25,000 calls.
+//! The first daemons of each data centre also have rows in the store, for the case that all daemons
+//! restart at once, and for those whose seeds are all down: they ask the listed daemons. A daemon
+//! that reaches none of these either, or that has no seeds, writes a row of its own and reads the
+//! list of all. With a row and two pages of the list for each of 984 daemons, which the store
+//! accepts at 200 a second, the start of a fleet made 25,000 calls.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -21,40 +22,41 @@
 use thistlesill_platform::store::{Content, Row, Table};
 
 use super::transfer::{self, Member};
-use super::{REMOVED, Reach, link};
+use super::{REMOVAL_TIMEOUT, Reach, link};
 use crate::state::Edge;
 
 /// Time in which daemons that start together have written their rows.
-const GATHER: Duration = Duration::from_millis(700);
-/// Between two looks at whether the list is to be read again.
-const LOOK: Duration = Duration::from_secs(30);
-/// Looks after which it is read in any case, for what beats cannot heal: daemons
-/// that were apart for long have forgotten each other.
-const REREAD_LOOKS: u32 = 10;
-/// Daemons of each data centre that are found in the store: 7 kB a data centre for each daemon
+const ENLIST_DELAY: Duration = Duration::from_millis(700);
+/// Time between two checks of whether the list must be read again.
+const CHECK_INTERVAL: Duration = Duration::from_secs(30);
+/// Checks after which the list is read in any case, since heartbeats cannot repair this: daemons
+/// that were separated for long have removed each other.
+const REREAD_CHECKS: u32 = 10;
+/// Daemons of each data centre that are listed in the store: 7 kB per data centre for each daemon
 /// that starts after all were lost.
-const LISTED_PER_HALL: usize = 32;
-/// How long only the store is asked by a daemon that starts again.
+const ROWS_PER_HALL: usize = 32;
+/// How long a restarted daemon asks only the store.
 const STORE_HEAD_START: Duration = Duration::from_millis(300);
-/// How long the seeds are asked before the store is: they start within some tenths of a second
-/// of each other, and wait for each other's beats before they answer.
+/// How long the seeds are asked before the store is: they start within some tenths of a second of
+/// each other, and wait for each other's heartbeats before they answer.
 const SEEDS_TIMEOUT: Millis = Millis::new(2_000);
-/// Time for a list of daemons, with hundreds of others that ask for it.
+/// Timeout for fetching a list of daemons, with hundreds of others that ask for it.
 const MEMBERS_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Time after its list in which all that started with a daemon have told all seeds.
+/// Time after a daemon has its list until all that started with it have announced themselves to all
+/// seeds.
 const SECOND_JOIN_DELAY: Duration = Duration::from_millis(1_500);
-/// Between two rounds of questions to seeds that do not listen yet.
+/// Time between two rounds of requests to seeds that do not listen yet.
 const SEEDS_RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// Time for a call.
-const LIMIT: Duration = Duration::from_millis(1_000);
-/// After a call that failed; the pause grows with each further one.
-const PAUSE: Duration = Duration::from_millis(400);
-/// The longest of these: a hundred daemons that start while the store turns them away
-/// make a hundred calls a second, and the first one that gets through wakes the others.
-const LONGEST_PAUSE: Duration = Duration::from_millis(1_600);
-/// Each pause is drawn between this part of it and all of it, so that daemons that
-/// started together do not call together.
-const JITTER: f64 = 0.5;
+/// Timeout of a call of the store.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Delay after the first failed call; each further failure doubles it.
+const RETRY_DELAY: Duration = Duration::from_millis(400);
+/// Longest delay: a hundred daemons that start while the store refuses them make a hundred calls a
+/// second, and the first one that succeeds wakes the others.
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(1_600);
+/// Each delay is drawn between this part of it and all of it, so that daemons that started together
+/// do not call together.
+const MIN_JITTER_RATIO: f64 = 0.5;
 
 /// A daemon's row in the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -64,7 +66,7 @@
     hall: HallId,
 }
 
-/// Has this daemon and the others know each other, for ever.
+/// Discovers the other daemons and announces this one, without end.
 pub(crate) async fn run(edge: Rc<Edge>) {
     let seeds = edge.settings().seed_addresses();
     let seeded = !seeds.is_empty();
@@ -75,9 +77,9 @@
     } else {
         rejoin(&edge, &seeds).await;
     }
-    // What the others have under way is wanted for the first requests, and they answer
-    // with their next beats.
-    link::tell_beat(&edge, Reach::All);
+    // The peers' requests in progress are needed for the first requests; they come with the peers'
+    // next heartbeats.
+    link::send_heartbeat(&edge, Reach::All);
     if seeded {
         // Of two daemons that asked different seeds neither may know the other yet.
         tokio::time::sleep(SECOND_JOIN_DELAY).await;
@@ -86,18 +88,18 @@
             enlist(&edge).await;
         }
     }
-    let mut looks = 0;
+    let mut checks = 0;
     loop {
-        tokio::time::sleep(LOOK).await;
-        looks += 1;
+        tokio::time::sleep(CHECK_INTERVAL).await;
+        checks += 1;
         if seeded {
             join_by_seeds(&edge, &seeds).await;
         }
-        let alone = edge.peers.borrow().heard(edge.now()) == 0;
-        if alone || edge.plans.get() || looks % REREAD_LOOKS == 0 {
-            remove_silent(&edge).await;
-            edge.peers.borrow_mut().forget_silent(edge.now());
-            let missing = join(&edge).await == Own::Missing;
+        let alone = edge.peers.borrow().live_count(edge.now()) == 0;
+        if alone || edge.plans.get() || checks % REREAD_CHECKS == 0 {
+            remove_expired_rows(&edge).await;
+            edge.peers.borrow_mut().remove_expired(edge.now());
+            let missing = read_list(&edge).await == OwnRow::Missing;
             if missing && (!seeded || is_listed_in_store(&edge)) {
                 enlist(&edge).await;
             }
@@ -105,44 +107,44 @@
     }
 }
 
-/// Whether this daemon is one of those that are found in the store.
+/// Returns whether this daemon is one of those that are listed in the store.
 fn is_listed_in_store(edge: &Edge) -> bool {
     let settings = edge.settings();
     let rank = edge.peers.borrow().rank(&settings.name, &settings.hall);
-    rank < LISTED_PER_HALL
+    rank < ROWS_PER_HALL
 }
 
-/// Joins after an earlier life: by the store, which has the first daemons at once also when
-/// all start again, or by the seeds if it does not answer.
+/// Joins after a restart: through the store, which has the first daemons at once even when all
+/// restart, or through the seeds if the store does not answer.
 async fn rejoin(edge: &Edge, seeds: &[SocketAddr]) {
     let by_seeds = async {
         tokio::time::sleep(STORE_HEAD_START).await;
         while !join_by_seeds(edge, seeds).await {}
     };
     tokio::select! {
-        _ = join(edge) => {}
+        _ = read_list(edge) => {}
         () = by_seeds => {}
     }
 }
 
-/// Tells daemons at some addresses of this one, and has the list of all from one of them;
-/// returns whether any answered.
+/// Announces this daemon to some addresses, and fetches the list of all daemons from the first that
+/// answers. Returns whether any did.
 async fn join_by_seeds(edge: &Edge, addresses: &[SocketAddr]) -> bool {
     if addresses.is_empty() {
         return false;
     }
-    let (until, me) = (edge.now() + SEEDS_TIMEOUT, Member::own(&edge.settings()));
-    while edge.now() < until {
-        // Those that start as well may not listen yet.
-        link::tell_beat_to(edge, addresses);
-        // All ask the same one first, so that its list is whole.
+    let (deadline, me) = (edge.now() + SEEDS_TIMEOUT, Member::own(&edge.settings()));
+    while edge.now() < deadline {
+        // Seeds that start at the same time may not listen yet.
+        link::send_heartbeat_to(edge, addresses);
+        // All daemons ask the same seed first, so that its list is complete.
         for address in addresses {
             match transfer::fetch_members(*address, me.clone(), MEMBERS_TIMEOUT).await {
                 Ok(members) => {
                     apply_members(edge, &members);
                     return true;
                 }
-                Err(error) => log::debug!("peers: {address} hands out no list: {error}"),
+                Err(error) => log::debug!("peers: no list of daemons from {address}: {error}"),
             }
         }
         tokio::time::sleep(SEEDS_RETRY_INTERVAL).await;
@@ -150,29 +152,29 @@
     false
 }
 
-/// Takes in the daemons that a peer knows.
+/// Adds the daemons that a peer knows.
 fn apply_members(edge: &Edge, members: &[Member]) {
     let (me, now) = (edge.settings().name.clone(), edge.now());
     {
         let mut peers = edge.peers.borrow_mut();
         for member in members.iter().filter(|m| m.name != me) {
-            peers.note_member(member, now);
+            peers.add_member(member, now);
         }
     }
-    note_listed(edge);
+    record_listed(edge);
 }
 
-/// Notes that this daemon has a list of the others.
-fn note_listed(edge: &Edge) {
+/// Records that this daemon has a list of the others.
+fn record_listed(edge: &Edge) {
     edge.peers.borrow_mut().listed = true;
     edge.listed.notify_waiters();
 }
 
-/// Finds the other daemons in the store, and is found there. Where daemons have seeds, only
-/// some are listed, and know the others.
+/// Finds the other daemons in the store, and lists this one there. Where daemons have seeds, only
+/// some are listed, and those know the others.
 async fn join_by_store(edge: &Edge, seeded: bool) {
     if seeded {
-        join(edge).await;
+        read_list(edge).await;
         let listed = edge.peers.borrow().all_addresses();
         if join_by_seeds(edge, &listed).await {
             return;
@@ -180,62 +182,62 @@
     }
     if edge.settings().first_start {
         enlist(edge).await;
-        tokio::time::sleep(GATHER).await;
-        join(edge).await;
-    } else if join(edge).await == Own::Missing {
+        tokio::time::sleep(ENLIST_DELAY).await;
+        read_list(edge).await;
+    } else if read_list(edge).await == OwnRow::Missing {
         enlist(edge).await;
-        join(edge).await;
+        read_list(edge).await;
     }
 }
 
 /// Whether this daemon's own row is in the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Own {
-    /// It is, and tells the right address.
+enum OwnRow {
+    /// The row is in the list, with the right address.
     Listed,
-    /// It is not.
+    /// The row is missing, or has another address.
     Missing,
 }
 
-/// Reads the list, however often that takes.
-async fn join(edge: &Edge) -> Own {
-    let mut pause = PAUSE;
+/// Reads the list, with retries until a read succeeds.
+async fn read_list(edge: &Edge) -> OwnRow {
+    let mut delay = RETRY_DELAY;
     loop {
-        match edge.store.read(Table::Daemons, LIMIT).await {
-            Ok(rows) => return take_all(edge, &rows.rows),
+        match edge.store.read(Table::Daemons, CALL_TIMEOUT).await {
+            Ok(rows) => return apply_rows(edge, &rows.rows),
             Err(error) => log::debug!("peers: the list was not read: {error}"),
         }
-        let part = edge.rng.borrow_mut().random_range(JITTER..1.0);
+        let ratio = edge.rng.borrow_mut().random_range(MIN_JITTER_RATIO..1.0);
         tokio::select! {
-            () = tokio::time::sleep(pause.mul_f64(part)) => {}
+            () = tokio::time::sleep(delay.mul_f64(ratio)) => {}
             () = edge.peer_heard.notified() => {}
         }
-        pause = (pause * 2).min(LONGEST_PAUSE);
+        delay = (delay * 2).min(MAX_RETRY_DELAY);
     }
 }
 
-fn take_all(edge: &Edge, rows: &[Row]) -> Own {
+fn apply_rows(edge: &Edge, rows: &[Row]) -> OwnRow {
     let settings = edge.settings();
-    let mut own = Own::Missing;
+    let mut own = OwnRow::Missing;
     for row in rows {
         let Some((name, daemon)) = decode(edge, row) else {
             continue;
         };
         if name != settings.name {
             let (now, mut peers) = (edge.now(), edge.peers.borrow_mut());
-            peers.list(name, daemon.address, daemon.hall, now);
+            peers.add(name, daemon.address, daemon.hall, now);
         } else if daemon.address == settings.peer_address() {
-            own = Own::Listed;
+            own = OwnRow::Listed;
         }
     }
-    note_listed(edge);
+    record_listed(edge);
     own
 }
 
-/// Writes this daemon's row, however often that takes.
+/// Writes this daemon's row, with retries until a write succeeds.
 async fn enlist(edge: &Edge) {
     while !write_row(edge).await {
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
 
@@ -243,8 +245,8 @@
     format!("daemons/{name}")
 }
 
-/// Writes this daemon's row. The write is the same whenever it is repeated,
-/// so an unknown outcome is simply written again.
+/// Writes this daemon's row. The write is idempotent, so a write of unknown outcome is simply
+/// repeated.
 async fn write_row(edge: &Edge) -> bool {
     let settings = edge.settings();
     let row = DaemonRow {
@@ -252,7 +254,8 @@
         hall: settings.hall.clone(),
     };
     let txn = Txn::new().put(key(&settings.name), &row);
-    edge.write(&txn, LIMIT, "peers: not listed").await
+    edge.write(&txn, CALL_TIMEOUT, "peers: row not written")
+        .await
 }
 
 fn decode(edge: &Edge, row: &Row) -> Option<(NodeId, DaemonRow)> {
@@ -271,15 +274,16 @@
         .map(|daemon| (name, daemon))
 }
 
-/// As planner: removes the rows of daemons that have been silent for long.
-async fn remove_silent(edge: &Edge) {
+/// As planner: removes the rows of daemons that have sent no heartbeat for long.
+async fn remove_expired_rows(edge: &Edge) {
     if !edge.plans.get() {
         return;
     }
-    let silent = edge.peers.borrow().silent_for(REMOVED, edge.now());
-    for name in silent {
+    let expired = edge.peers.borrow().expired(REMOVAL_TIMEOUT, edge.now());
+    for name in expired {
         let txn = Txn::new().delete(key(&name));
-        // What stays is removed at the next look.
-        edge.write(&txn, LIMIT, "peers: a row not removed").await;
+        // A row that could not be removed is removed at the next check.
+        edge.write(&txn, CALL_TIMEOUT, "peers: row not removed")
+            .await;
     }
 }
--- a/crates/thistlesill-edge/src/peers/traffic.rs
+++ b/crates/thistlesill-edge/src/peers/traffic.rs
@@ -1,4 +1,4 @@
-//! What this daemon sends to its peers, by kind of message.
+//! Counts what this daemon sends to its peers, by kind of message.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -12,16 +12,16 @@
     pub(crate) bytes: u64,
 }
 
-/// What counts the messages of one kind.
+/// Counters for the messages of one kind.
 #[derive(Debug)]
-struct Counts {
+struct KindCounters {
     sent: Sent,
-    /// The metrics of the kind, looked up once: each datagram counts.
+    /// Metrics of the kind, looked up once since every datagram increments them.
     messages: Counter,
     bytes: Counter,
 }
 
-impl Counts {
+impl KindCounters {
     fn new(kind: &'static str) -> Self {
         Self {
             sent: Sent::default(),
@@ -34,25 +34,25 @@
 /// All messages that were sent since the start, by kind.
 #[derive(Debug, Default)]
 pub(crate) struct Traffic {
-    kinds: RefCell<BTreeMap<&'static str, Counts>>,
+    kinds: RefCell<BTreeMap<&'static str, KindCounters>>,
 }
 
 impl Traffic {
-    /// Counts messages of some bytes each.
-    pub(crate) fn note(&self, kind: &'static str, messages: u64, bytes: usize) {
+    /// Records messages of `bytes` each.
+    pub(crate) fn record(&self, kind: &'static str, messages: u64, bytes: usize) {
         if messages == 0 {
             return;
         }
         let bytes = messages * bytes as u64;
         let mut kinds = self.kinds.borrow_mut();
-        let counts = kinds.entry(kind).or_insert_with(|| Counts::new(kind));
-        counts.sent.messages += messages;
-        counts.sent.bytes += bytes;
-        counts.messages.increment(messages);
-        counts.bytes.increment(bytes);
+        let counters = kinds.entry(kind).or_insert_with(|| KindCounters::new(kind));
+        counters.sent.messages += messages;
+        counters.sent.bytes += bytes;
+        counters.messages.increment(messages);
+        counters.bytes.increment(bytes);
     }
 
-    /// What was sent of each kind.
+    /// Returns what was sent of each kind.
     pub(crate) fn by_kind(&self) -> Vec<(&'static str, Sent)> {
         let kinds = self.kinds.borrow();
         kinds.iter().map(|(kind, c)| (*kind, c.sent)).collect()
--- a/crates/thistlesill-edge/src/peers/transfer.rs
+++ b/crates/thistlesill-edge/src/peers/transfer.rs
@@ -1,14 +1,15 @@
-//! Catalogs and lists of targets that daemons hand to each other over TCP.
+//! Transfers catalogs, lists of targets and lists of daemons between daemons over TCP.
 //!
-//! A new catalog reaches one daemon from the store and the others from daemons that
-//! have it: calls of the store are dear, and hundreds of daemons would make hundreds
-//! for each of the operators' changes. A daemon that starts, or that missed more than is
-//! kept for it, has the list of all targets from a peer in the same way.
+//! A new catalog reaches one daemon from the store and the others from daemons that have it: calls
+//! of the store are expensive, and hundreds of daemons would make hundreds for each of the
+//! operators' changes. A daemon that starts, or that missed more changes than its peers keep,
+//! fetches the list of all targets from a peer in the same way.
 //!
-//! The exchange is one frame each way. A daemon that starts is told in a frame more that
-//! it will be answered, and is as soon as the other knows what it is asked for. Who comes while a daemon hands out as many as
-//! its connection bears waits in line, for as long as it likes; it can still read the
-//! store. Refusing instead had two thirds of 62 daemons read the store each time.
+//! The exchange is one frame each way. A daemon that starts first receives a frame saying that the
+//! reply will follow, and the reply as soon as the peer has what was asked for. While a daemon
+//! serves as many transfers as its connection bears, further peers wait in a queue, for as long as
+//! they like; they can still read the store. When such peers were refused instead, two thirds of 62
+//! daemons read the store each time.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -30,58 +31,57 @@
 
 use crate::state::Edge;
 
-/// Catalogs that are handed out at the same time: a catalog of 300 kB takes 0.12 s
-/// on a connection of 20 Mbit/s, so the last of these has it after one second, a
-/// quarter of the time in which it must be in force.
-const MAX_AT_ONCE: usize = 8;
-/// Bytes of a frame, at most: a catalog, of which the operators' store takes 8 MB in a
-/// row at most, and 12,000 targets of 0.2 kB.
-const MAX_FRAME: usize = 12 << 20;
-/// Bytes of a compressed catalog that goes along with the list of targets, at most: four of
-/// them take 0.1 s on a line of 20 Mbit/s. Larger ones, handed on through three levels of
-/// daemons, had the last of 89 daemons serve 2 s after the store was back; each reads one from
-/// the store in 0.12 s.
-const MAX_ALONG: usize = 64 << 10;
-/// Daemons that wait in line or are served, at most; each takes a descriptor. The first seed
-/// is asked by all daemons of a fleet at its start; those beyond go on to the next one.
-const MAX_IN_LINE: usize = 1_024;
-/// Time for handing one out.
-const HAND_OUT: Duration = Duration::from_secs(2);
-/// Bytes of a catalog and 12,000 targets, not compressed, at most.
-const MAX_KNOWN: usize = 32 << 20;
-/// How long a daemon may take to say that it is there, as one that has just started does
-/// on an eighth of a core.
-const SAY: Duration = Duration::from_millis(150);
-/// The same for a seed, which all daemons of a fleet may ask at once.
+/// Transfers that are served at the same time: a catalog of 300 kB takes 0.12 s on a connection of
+/// 20 Mbit/s, so the last of these has it after one second, a quarter of the time in which it must
+/// be in force.
+const MAX_ACTIVE: usize = 8;
+/// Largest size of a frame: a catalog, of which the operators' store accepts at most 8 MB in a row,
+/// and 12,000 targets of 0.2 kB.
+const MAX_FRAME_BYTES: usize = 12 << 20;
+/// Largest size of a compressed catalog that is sent with the list of targets: four of them take
+/// 0.1 s on a line of 20 Mbit/s. Larger ones, forwarded through three levels of daemons, made the
+/// last of 89 daemons serve 2 s after the store was back; each reads one from the store in 0.12 s.
+const MAX_INLINE_CATALOG_BYTES: usize = 64 << 10;
+/// Most peers that are queued or served; each takes a file descriptor. The first seed is asked by
+/// all daemons of a fleet at its start; those beyond the limit ask the next seed.
+const MAX_QUEUED: usize = 1_024;
+/// Timeout for serving one transfer.
+const SERVE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Largest size of a catalog and 12,000 targets when decompressed.
+const MAX_SNAPSHOT_BYTES: usize = 32 << 20;
+/// How long a daemon may take for its first frame, as one that has just started does on an eighth
+/// of a core.
+const FIRST_REPLY_TIMEOUT: Duration = Duration::from_millis(150);
+/// How long a seed may take for its first frame: all daemons of a fleet may ask it at once.
 const SEED_REPLY_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time after its start in which a daemon has heard of those that start with it.
+/// Time after its start until a daemon has received the announcements of those that start with it.
 const START_SPREAD: Millis = Millis::new(700);
-/// After a failure to accept, as when descriptors run out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a connection could not be accepted, as when file descriptors run out.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// What a daemon is asked for.
+/// A request to a daemon.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-enum Question {
+enum Request {
     /// The catalog as the operators wrote it.
     Catalog,
     /// All that a daemon must know to serve.
     State,
     /// The list of all targets.
     Targets,
-    /// The daemons that it knows, of which this one is another.
+    /// The daemons that the receiver knows; the sender, given here, is added to them.
     Members(Member),
 }
 
-/// What a daemon answers.
+/// A reply to a [`Request`].
 #[derive(Debug, Serialize, Deserialize)]
-enum Answer {
-    /// It is there, and the answer follows as soon as it knows it.
+enum Reply {
+    /// The reply follows as soon as the daemon has what was asked for.
     Soon,
-    /// The catalog, as the operators wrote it, compressed.
+    /// The catalog as the operators wrote it, compressed.
     Catalog(Bytes),
-    /// What it knows.
+    /// The catalog and the targets that the daemon knows.
     State(Box<State>),
-    /// The daemons that it knows, encoded as a list of [`Member`] and compressed.
+    /// The daemons that the sender knows, encoded as a list of [`Member`] and compressed.
     Members(Bytes),
 }
 
@@ -91,30 +91,30 @@
     pub(crate) name: NodeId,
     pub(crate) address: SocketAddr,
     pub(crate) hall: HallId,
-    /// What its machine's connection bears, in Mbit a second.
+    /// Bandwidth of the network connection of the daemon's instance, in Mbit/s.
     pub(crate) link: u32,
 }
 
 /// What a daemon must know to serve, as a peer knows it.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct State {
-    /// [`Known`], encoded and compressed.
+    /// [`Snapshot`], encoded and compressed.
     packed: Bytes,
-    /// How old the proof is that the catalog is the newest.
+    /// Age of the proof that the catalog is the newest.
     pub(crate) proof: Option<Millis>,
-    /// How old the knowledge of the targets is.
+    /// Age of the knowledge of the targets.
     pub(crate) age: Option<Millis>,
-    /// How long the store has answered without a break.
-    pub(crate) steady: Option<Millis>,
+    /// How long the store has answered without interruption.
+    pub(crate) store_uptime: Option<Millis>,
     /// The data centres that are evacuated.
     pub(crate) evacuated: Evacuations,
 }
 
 /// The catalog and the targets, as a peer knows them.
 #[derive(Debug, Serialize, Deserialize)]
-pub(crate) struct Known {
-    /// The catalog, as the operators wrote it; empty if it is not there yet, or is so
-    /// large that it is read from the store sooner.
+pub(crate) struct Snapshot {
+    /// The catalog as the operators wrote it; empty if the peer has none yet, or if it is so large
+    /// that reading it from the store is faster.
     pub(crate) catalog: Bytes,
     /// All targets that are listed.
     pub(crate) targets: Vec<Target>,
@@ -123,7 +123,7 @@
 }
 
 impl Member {
-    /// The daemon with these settings.
+    /// Returns the daemon with these settings.
     pub(crate) fn own(settings: &EdgeSettings) -> Self {
         Self {
             name: settings.name.clone(),
@@ -135,13 +135,13 @@
 }
 
 impl State {
-    /// Takes out what the peer knows.
+    /// Decompresses and decodes the catalog and the targets.
     ///
     /// # Errors
     ///
-    /// [`TransferError::Otherwise`] if it cannot be decoded, or is longer than anything
+    /// [`TransferError::Malformed`] if the bytes cannot be decoded, or are longer than anything
     /// that a daemon packs.
-    pub(crate) fn unpack(&self) -> Result<Known, TransferError> {
+    pub(crate) fn unpack(&self) -> Result<Snapshot, TransferError> {
         unpack(&self.packed)
     }
 }
@@ -150,68 +150,67 @@
 fn unpack<T: DeserializeOwned>(bytes: &Bytes) -> Result<T, TransferError> {
     postcard::from_bytes(&decompress(bytes)?)
         .ok()
-        .context(OtherwiseSnafu)
+        .context(MalformedSnafu)
 }
 
-/// Decompresses what a peer compressed; what is longer than anything that a daemon packs is
-/// refused.
+/// Decompresses what a peer compressed; refuses what is longer than anything that a daemon packs.
 fn decompress(bytes: &Bytes) -> Result<Bytes, TransferError> {
     let size = lz4_flex::block::uncompressed_size(bytes);
-    let (length, packed) = size.ok().context(OtherwiseSnafu)?;
-    if length > MAX_KNOWN {
-        return OtherwiseSnafu.fail();
+    let (length, packed) = size.ok().context(MalformedSnafu)?;
+    if length > MAX_SNAPSHOT_BYTES {
+        return MalformedSnafu.fail();
     }
     let plain = lz4_flex::block::decompress(packed, length);
-    Ok(plain.ok().context(OtherwiseSnafu)?.into())
+    Ok(plain.ok().context(MalformedSnafu)?.into())
 }
 
-/// Encodes and compresses; `None` if it cannot be encoded.
-fn pack<T: Serialize>(what: &T) -> Option<Bytes> {
-    let encoded = postcard::to_stdvec(what)
-        .inspect_err(|error| log::error!("transfer: not encoded: {error}"))
+/// Encodes and compresses a value; returns `None` if it cannot be encoded.
+fn pack<T: Serialize>(value: &T) -> Option<Bytes> {
+    let encoded = postcard::to_stdvec(value)
+        .inspect_err(|error| log::error!("transfer: cannot encode a reply: {error}"))
         .ok()?;
     Some(lz4_flex::block::compress_prepend_size(&encoded).into())
 }
 
-/// What a daemon last packed, for the next one that asks while what it is of stays the same:
-/// four do when all start.
+/// Caches the last packed value for the next peer that asks while its source, identified by the
+/// key, stays the same: when all daemons start, four ask for each.
 #[derive(Debug, Default)]
-pub(crate) struct Packed<K> {
+pub(crate) struct PackedCache<K> {
     last: RefCell<Option<(K, Bytes)>>,
 }
 
-impl<K: PartialEq> Packed<K> {
-    /// What was packed last if it is `of` the same, and otherwise what `pack` makes.
-    fn get(&self, of: K, pack: impl FnOnce() -> Option<Bytes>) -> Option<Bytes> {
+impl<K: PartialEq> PackedCache<K> {
+    /// Returns the cached bytes if they belong to `key`, and otherwise packs and caches new ones.
+    fn get(&self, key: K, pack: impl FnOnce() -> Option<Bytes>) -> Option<Bytes> {
         if let Some((last, bytes)) = self.last.borrow().as_ref()
-            && *last == of
+            && *last == key
         {
             return Some(bytes.clone());
         }
         let bytes = pack()?;
-        self.last.replace(Some((of, bytes.clone())));
+        self.last.replace(Some((key, bytes.clone())));
         Some(bytes)
     }
 }
 
-/// Why nothing came.
+/// Why a transfer failed.
 #[derive(Debug, Snafu)]
 pub(crate) enum TransferError {
     /// The connection did not come up or broke off.
     #[snafu(display("{source}"))]
     Connection { source: std::io::Error },
-    /// The peer has none or hands out too many.
-    #[snafu(display("the peer hands none out now"))]
+    /// The peer has nothing to send, or serves too many others.
+    #[snafu(display("the peer refused the transfer"))]
     Refused,
-    /// What came cannot be decoded, or is not what was asked for.
-    #[snafu(display("the peer speaks otherwise"))]
-    Otherwise,
-    /// It took too long.
+    /// The message cannot be decoded, or is not what was asked for.
+    #[snafu(display("the peer sent an unexpected or malformed message"))]
+    Malformed,
+    /// The peer did not answer in time.
     #[snafu(display("no answer in time"))]
-    Late,
+    TimedOut,
 }
 
-/// Hands what this daemon knows to peers, for ever.
+/// Serves transfers to peers, without end.
 pub(crate) async fn serve(edge: Rc<Edge>) {
     let address = edge.settings().peer_address();
     let listener = match TcpListener::bind(address).await {
@@ -221,105 +220,109 @@
             return;
         }
     };
-    let line = Rc::new(Line::default());
+    let limits = Rc::new(TransferLimits::default());
     loop {
         match listener.accept().await {
-            Ok((stream, _)) => begin(&edge, stream, &line),
+            Ok((stream, _)) => spawn_transfer(&edge, stream, &limits),
             Err(error) => {
                 log::debug!("transfer: a connection was not accepted: {error}");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Who waits in line or is served, and who of them is served.
+/// Limits on the peers that are queued or served, and on those of them that are served.
 #[derive(Debug)]
-struct Line {
-    room: Arc<Semaphore>,
-    places: Semaphore,
+struct TransferLimits {
+    queued: Arc<Semaphore>,
+    active: Semaphore,
 }
 
-impl Default for Line {
+impl Default for TransferLimits {
     fn default() -> Self {
         Self {
-            room: Arc::new(Semaphore::new(MAX_IN_LINE)),
-            places: Semaphore::new(MAX_AT_ONCE),
+            queued: Arc::new(Semaphore::new(MAX_QUEUED)),
+            active: Semaphore::new(MAX_ACTIVE),
         }
     }
 }
 
-fn begin(edge: &Rc<Edge>, stream: TcpStream, line: &Rc<Line>) {
-    let Ok(room) = line.room.clone().try_acquire_owned() else {
+fn spawn_transfer(edge: &Rc<Edge>, stream: TcpStream, limits: &Rc<TransferLimits>) {
+    let Ok(slot) = limits.queued.clone().try_acquire_owned() else {
         metrics::counter!("thistlesill_edge_transfers_refused_total").increment(1);
         return;
     };
-    let (edge, line) = (edge.clone(), line.clone());
+    let (edge, limits) = (edge.clone(), limits.clone());
     tokio::task::spawn_local(async move {
-        let until = Instant::now() + HAND_OUT;
-        match timeout_at(until, hand_out(&edge, stream, &line)).await {
+        let deadline = Instant::now() + SERVE_TIMEOUT;
+        match timeout_at(deadline, serve_peer(&edge, stream, &limits)).await {
             Ok(Ok(())) => metrics::counter!("thistlesill_edge_transfers_total").increment(1),
-            Ok(Err(error)) => log::debug!("transfer: not handed out: {error}"),
-            Err(_) => log::debug!("transfer: not handed out in time"),
+            Ok(Err(error)) => log::debug!("transfer: failed: {error}"),
+            Err(_) => log::debug!("transfer: timed out"),
         }
-        drop(room);
+        drop(slot);
     });
 }
 
-async fn hand_out(edge: &Edge, stream: TcpStream, line: &Line) -> Result<(), TransferError> {
-    let mut frames = frames(stream, MAX_FRAME);
-    let question = postcard::from_bytes(&next_frame(&mut frames).await?);
-    let question = question.ok().context(OtherwiseSnafu)?;
-    if matches!(question, Question::State | Question::Members(_)) {
-        // What follows may take a second on its way.
-        send(&mut frames, &Answer::Soon).await?;
+async fn serve_peer(
+    edge: &Edge,
+    stream: TcpStream,
+    limits: &TransferLimits,
+) -> Result<(), TransferError> {
+    let mut frames = frames(stream, MAX_FRAME_BYTES);
+    let request = postcard::from_bytes(&next_frame(&mut frames).await?);
+    let request = request.ok().context(MalformedSnafu)?;
+    if matches!(request, Request::State | Request::Members(_)) {
+        // The reply proper may take a second to arrive.
+        send(&mut frames, &Reply::Soon).await?;
     }
-    while !knows(edge, &question) {
+    while !can_answer(edge, &request) {
         edge.learned.notified().await;
     }
-    if let Question::Members(member) = &question {
-        edge.peers.borrow_mut().note_member(member, edge.now());
-        // Daemons that start together have told of themselves by then.
+    if let Request::Members(member) = &request {
+        edge.peers.borrow_mut().add_member(member, edge.now());
+        // Daemons that start together have announced themselves by then.
         edge.alarm.until(edge.started + START_SPREAD).await;
     }
-    let place = line.places.acquire().await;
-    let answer = match question {
-        Question::Catalog => pack_catalog(edge).map(Answer::Catalog),
-        Question::Members(_) => members(edge).map(Answer::Members),
-        Question::State | Question::Targets => {
+    let permit = limits.active.acquire().await;
+    let reply = match request {
+        Request::Catalog => pack_catalog(edge).map(Reply::Catalog),
+        Request::Members(_) => members(edge).map(Reply::Members),
+        Request::State | Request::Targets => {
             let state = state(edge).context(RefusedSnafu)?;
-            Some(Answer::State(Box::new(state)))
+            Some(Reply::State(Box::new(state)))
         }
     };
-    let answer = answer.context(RefusedSnafu)?;
-    let (kind, bytes) = match &answer {
-        Answer::Soon => ("transfer_soon", 0),
-        Answer::Catalog(text) => ("transfer_catalog", text.len()),
-        Answer::State(state) => ("transfer_state", state.packed.len()),
-        Answer::Members(list) => ("transfer_members", list.len()),
+    let reply = reply.context(RefusedSnafu)?;
+    let (kind, bytes) = match &reply {
+        Reply::Soon => ("transfer_soon", 0),
+        Reply::Catalog(text) => ("transfer_catalog", text.len()),
+        Reply::State(state) => ("transfer_state", state.packed.len()),
+        Reply::Members(list) => ("transfer_members", list.len()),
     };
-    edge.traffic.note(kind, 1, bytes);
-    let sent = send(&mut frames, &answer).await;
-    drop(place);
+    edge.traffic.record(kind, 1, bytes);
+    let sent = send(&mut frames, &reply).await;
+    drop(permit);
     sent
 }
 
-/// Whether this daemon knows what it is asked for. At the first start of the whole system
-/// the targets come before the catalog.
-fn knows(edge: &Edge, question: &Question) -> bool {
+/// Returns whether this daemon has what is asked for. At the first start of the whole system the
+/// targets come before the catalog.
+fn can_answer(edge: &Edge, request: &Request) -> bool {
     let targets = edge.feed.borrow().is_known();
-    match question {
-        Question::Catalog | Question::Members(_) => true,
-        Question::Targets => targets,
-        Question::State => {
+    match request {
+        Request::Catalog | Request::Members(_) => true,
+        Request::Targets => targets,
+        Request::State => {
             let catalog = edge.catalog.borrow().is_some() || edge.settings().first_start;
             targets && catalog
         }
     }
 }
 
-/// The catalog as the operators wrote it, compressed once for all that ask; `None` if there
-/// is none.
+/// Returns the catalog as the operators wrote it, compressed once for all peers; `None` if there is
+/// none.
 fn pack_catalog(edge: &Edge) -> Option<Bytes> {
     let version = edge.catalog()?.version;
     edge.packed_catalog.get(version, || {
@@ -328,7 +331,7 @@
     })
 }
 
-/// The daemons that this one knows, packed once for all that ask while they stay the same;
+/// Returns the daemons that this one knows, packed once for all peers while they stay the same;
 /// `None` if they cannot be encoded.
 fn members(edge: &Edge) -> Option<Bytes> {
     let peers = edge.peers.borrow();
@@ -337,26 +340,27 @@
         .get(revision, || pack(&peers.members(edge)))
 }
 
-/// What this daemon knows; `None` if it cannot be encoded.
+/// Returns what this daemon knows; `None` if it cannot be encoded.
 fn state(edge: &Edge) -> Option<State> {
     let now = edge.now();
     Some(State {
-        packed: pack_known(edge)?,
+        packed: pack_snapshot(edge)?,
         proof: edge.fresh.get().age(now),
         age: edge.targets_age(),
-        steady: edge.book.borrow().store_uptime(now),
+        store_uptime: edge.book.borrow().store_uptime(now),
         evacuated: edge.evacuations.borrow().known().clone(),
     })
 }
 
-/// The catalog and the targets, encoded and compressed: 1,000 targets take some 30 kB.
-fn pack_known(edge: &Edge) -> Option<Bytes> {
+/// Returns the catalog and the targets, encoded and compressed: 1,000 targets take some 30 kB.
+fn pack_snapshot(edge: &Edge) -> Option<Bytes> {
     let version = edge.feed.borrow().version();
-    let of = (version, edge.catalog().map(|c| c.version));
-    edge.packed.get(of, || {
-        let along = pack_catalog(edge).is_some_and(|packed| packed.len() <= MAX_ALONG);
-        pack(&Known {
-            catalog: if along {
+    let key = (version, edge.catalog().map(|c| c.version));
+    edge.packed.get(key, || {
+        let inline =
+            pack_catalog(edge).is_some_and(|packed| packed.len() <= MAX_INLINE_CATALOG_BYTES);
+        pack(&Snapshot {
+            catalog: if inline {
                 edge.catalog_text.borrow().clone()
             } else {
                 Bytes::new()
@@ -367,94 +371,97 @@
     })
 }
 
-/// Gets the catalog of the daemon at an address, within `limit`.
+/// Fetches the catalog from the daemon at an address, within `timeout`.
 pub(crate) async fn fetch_catalog(
     address: SocketAddr,
-    limit: Duration,
+    timeout: Duration,
 ) -> Result<Bytes, TransferError> {
-    match ask(address, Question::Catalog, limit, limit).await? {
-        Answer::Catalog(text) => decompress(&text),
-        Answer::Soon | Answer::State(_) | Answer::Members(_) => OtherwiseSnafu.fail(),
+    match ask(address, Request::Catalog, timeout, timeout).await? {
+        Reply::Catalog(text) => decompress(&text),
+        Reply::Soon | Reply::State(_) | Reply::Members(_) => MalformedSnafu.fail(),
     }
 }
 
-/// Tells the daemon at an address of a member, and gets the daemons that it knows, within
-/// `limit`.
+/// Announces a member to the daemon at an address, and fetches the daemons that it knows, within
+/// `timeout`.
 pub(crate) async fn fetch_members(
     address: SocketAddr,
     member: Member,
-    limit: Duration,
+    timeout: Duration,
 ) -> Result<Vec<Member>, TransferError> {
-    let question = Question::Members(member);
-    match ask(address, question, SEED_REPLY_TIMEOUT, limit).await? {
-        Answer::Members(list) => unpack(&list),
-        Answer::Soon | Answer::State(_) | Answer::Catalog(_) => OtherwiseSnafu.fail(),
+    let request = Request::Members(member);
+    match ask(address, request, SEED_REPLY_TIMEOUT, timeout).await? {
+        Reply::Members(list) => unpack(&list),
+        Reply::Soon | Reply::State(_) | Reply::Catalog(_) => MalformedSnafu.fail(),
     }
 }
 
-/// Gets all that a daemon must know to serve from the daemon at an address, which has
-/// `limit` for it if it starts itself.
+/// Fetches all that a daemon must know to serve from the daemon at an address, which has `timeout`
+/// for it if it is starting itself.
 pub(crate) async fn fetch_state(
     address: SocketAddr,
-    limit: Duration,
+    timeout: Duration,
 ) -> Result<State, TransferError> {
-    into_state(ask(address, Question::State, SAY, limit).await?)
+    into_state(ask(address, Request::State, FIRST_REPLY_TIMEOUT, timeout).await?)
 }
 
-/// Gets the list of all targets from the daemon at an address, within `limit`.
+/// Fetches the list of all targets from the daemon at an address, within `timeout`.
 pub(crate) async fn fetch_targets(
     address: SocketAddr,
-    limit: Duration,
+    timeout: Duration,
 ) -> Result<State, TransferError> {
-    into_state(ask(address, Question::Targets, limit, limit).await?)
+    into_state(ask(address, Request::Targets, timeout, timeout).await?)
 }
 
-fn into_state(answer: Answer) -> Result<State, TransferError> {
-    match answer {
-        Answer::State(state) => Ok(*state),
-        Answer::Soon | Answer::Catalog(_) | Answer::Members(_) => OtherwiseSnafu.fail(),
+fn into_state(reply: Reply) -> Result<State, TransferError> {
+    match reply {
+        Reply::State(state) => Ok(*state),
+        Reply::Soon | Reply::Catalog(_) | Reply::Members(_) => MalformedSnafu.fail(),
     }
 }
 
-/// Asks the daemon at an address, which has `say` for its first word, and `limit` for
-/// what it is asked for.
+/// Sends a request to the daemon at an address, which has `first_timeout` for its first frame, and
+/// `timeout` for the reply proper.
 async fn ask(
     address: SocketAddr,
-    question: Question,
-    say: Duration,
-    limit: Duration,
-) -> Result<Answer, TransferError> {
+    request: Request,
+    first_timeout: Duration,
+    timeout: Duration,
+) -> Result<Reply, TransferError> {
     let start = Instant::now();
     let first = async {
         let stream = TcpStream::connect(address).await.context(ConnectionSnafu)?;
-        let mut frames = frames(stream, MAX_FRAME);
-        send(&mut frames, &question).await?;
-        let answer = next_answer(&mut frames).await?;
-        Ok((frames, answer))
+        let mut frames = frames(stream, MAX_FRAME_BYTES);
+        send(&mut frames, &request).await?;
+        let reply = next_reply(&mut frames).await?;
+        Ok((frames, reply))
     };
-    let (mut frames, answer) = in_time(start + say, first).await?;
-    match answer {
-        Answer::Soon => in_time(start + limit, next_answer(&mut frames)).await,
-        answer => Ok(answer),
+    let (mut frames, reply) = in_time(start + first_timeout, first).await?;
+    match reply {
+        Reply::Soon => in_time(start + timeout, next_reply(&mut frames)).await,
+        reply => Ok(reply),
     }
 }
 
 async fn in_time<T>(
-    until: Instant,
+    deadline: Instant,
     step: impl Future<Output = Result<T, TransferError>>,
 ) -> Result<T, TransferError> {
-    timeout_at(until, step).await.ok().context(LateSnafu)?
+    timeout_at(deadline, step)
+        .await
+        .ok()
+        .context(TimedOutSnafu)?
 }
 
 async fn send<T: Serialize>(frames: &mut Frames, message: &T) -> Result<(), TransferError> {
-    let bytes = postcard::to_stdvec(message).ok().context(OtherwiseSnafu)?;
+    let bytes = postcard::to_stdvec(message).ok().context(MalformedSnafu)?;
     let bytes = Bytes::from(bytes);
     frames.send(bytes).await.context(ConnectionSnafu)
 }
 
-async fn next_answer(frames: &mut Frames) -> Result<Answer, TransferError> {
+async fn next_reply(frames: &mut Frames) -> Result<Reply, TransferError> {
     let frame = next_frame(frames).await?;
-    postcard::from_bytes(&frame).ok().context(OtherwiseSnafu)
+    postcard::from_bytes(&frame).ok().context(MalformedSnafu)
 }
 
 async fn next_frame(frames: &mut Frames) -> Result<Bytes, TransferError> {
--- a/crates/thistlesill-edge/src/planner.rs
+++ b/crates/thistlesill-edge/src/planner.rs
@@ -20,7 +20,7 @@
 use thistlesill_policy::lease::{Lease, LeaseChange, LeasePeriods, LeaseStep};
 
 use crate::figures;
-use crate::follow::{self, FIND};
+use crate::follow::{self, DISCOVERY_PERIOD};
 use crate::peers::{Reach, link};
 use crate::state::Edge;
 
@@ -108,16 +108,16 @@
             let line = self.edge.lines.line("lease_given_up");
             line.with("written", given).write();
         }
-        self.edge.peers.borrow_mut().shown = None;
+        self.edge.peers.borrow_mut().lease = None;
         // The process waits for this before it ends.
         self.edge.plans.set(false);
         // The next beat may be due after the process has ended.
-        link::tell_beat(&self.edge, Reach::All);
+        link::send_heartbeat(&self.edge, Reach::All);
     }
 
     async fn tend_lease(&self) {
         let now = self.edge.now();
-        if let Some(seen) = self.edge.peers.borrow_mut().heard_lease.take() {
+        if let Some(seen) = self.edge.peers.borrow_mut().received_lease.take() {
             self.lease.borrow_mut().observe(seen, now);
         }
         let watching = matches!(self.lease.borrow().state(), LeaseState::Watching);
@@ -144,7 +144,7 @@
         self.note(news);
         let holds = self.lease.borrow().term(self.edge.now()).is_some();
         self.edge.plans.set(holds);
-        self.edge.peers.borrow_mut().shown = self.lease.borrow().snapshot().filter(|_| holds);
+        self.edge.peers.borrow_mut().lease = self.lease.borrow().snapshot().filter(|_| holds);
     }
 
     /// Whether this daemon looks for the lease now. Not while a holder is
@@ -154,15 +154,15 @@
     /// others only if none of them succeeds.
     fn may_seek(&self, now: Millis) -> bool {
         let peers = self.edge.peers.borrow();
-        if peers.hears_planner(now) {
+        if peers.is_planner_alive(now) {
             return false;
         }
-        let found = now - self.edge.started >= FIND;
+        let found = now - self.edge.started >= DISCOVERY_PERIOD;
         if !found {
             let unknown = self.lease.borrow().holder().is_none();
             return unknown && peers.is_first_listed(&self.edge.settings().name);
         }
-        let silence = now - peers.planner_heard().unwrap_or(self.edge.started);
+        let silence = now - peers.planner_seen_at().unwrap_or(self.edge.started);
         // While the store is away, hundreds that look for the lease find nothing.
         let orphaned = silence >= ORPHANED && !self.edge.is_away();
         orphaned || follow::reads_for_others(&self.edge)
@@ -207,7 +207,7 @@
             self.edge
                 .suspect(target, "it or a member of its group answered no probe");
         }
-        self.edge.peers.borrow_mut().late = late;
+        self.edge.peers.borrow_mut().late_joins = late;
         self.tell_dead(dead);
     }
 
@@ -222,7 +222,7 @@
     /// Follows the fleets without the lease; returns which groups may be joined late, if it
     /// knows of all.
     fn watch(&self, catalog: &Catalog, now: Millis) -> Option<Vec<GroupRef>> {
-        let told = self.edge.peers.borrow_mut().told_late.take();
+        let told = self.edge.peers.borrow_mut().received_late_joins.take();
         let book = self.edge.book.borrow();
         let mut fleets = self.fleets.borrow_mut();
         let mut late = Some(Vec::new());
@@ -254,7 +254,7 @@
         let slow = self.slow(now);
         let working = self.working(now);
         let requests = edge.loads.borrow().requests(now);
-        let told = edge.peers.borrow_mut().told_late.take();
+        let told = edge.peers.borrow_mut().received_late_joins.take();
         let evacuations = edge.evacuations.borrow();
         let book = edge.book.borrow();
         let (mut dead, mut late) = (Vec::new(), Some(Vec::new()));
@@ -299,13 +299,13 @@
     /// Tells all daemons of targets that answered no probe; at once if one is
     /// news, since requests still go to its group.
     fn tell_dead(&self, dead: Vec<TargetId>) {
-        let before = std::mem::replace(&mut self.edge.peers.borrow_mut().dead, dead);
+        let before = std::mem::replace(&mut self.edge.peers.borrow_mut().unresponsive, dead);
         let news = {
             let peers = self.edge.peers.borrow();
-            peers.dead.iter().any(|id| !before.contains(id))
+            peers.unresponsive.iter().any(|id| !before.contains(id))
         };
         if news {
-            link::tell_beat(&self.edge, Reach::All);
+            link::send_heartbeat(&self.edge, Reach::All);
         }
     }
 
--- a/crates/thistlesill-edge/src/quarantine.rs
+++ b/crates/thistlesill-edge/src/quarantine.rs
@@ -121,7 +121,7 @@
             line.with("print", print).write();
             if let Some(verdict) = verdict {
                 // At once: another daemon may be about to try it, too.
-                link::tell_peers(edge, &Packet::Verdicts(vec![verdict]), Reach::All);
+                link::broadcast(edge, &Packet::Verdicts(vec![verdict]), Reach::All);
             }
             None
         }
@@ -211,10 +211,10 @@
         tokio::time::sleep(GATHER).await;
         let untold = std::mem::take(&mut *edge.cases.untold.borrow_mut());
         for part in untold.lost.chunks(MAX_TOLD) {
-            link::tell_peers(&edge, &Packet::Lost(part.to_vec()), Reach::All);
+            link::broadcast(&edge, &Packet::Lost(part.to_vec()), Reach::All);
         }
         for part in untold.verdicts.chunks(MAX_TOLD) {
-            link::tell_peers(&edge, &Packet::Verdicts(part.to_vec()), Reach::All);
+            link::broadcast(&edge, &Packet::Verdicts(part.to_vec()), Reach::All);
         }
     }
 }
@@ -253,21 +253,21 @@
     }
     edge.cases.asked.set(now);
     let me = edge.settings().name.clone();
-    link::tell(edge, peer, &Packet::AskVerdicts(me));
+    link::send_to(edge, peer, &Packet::VerdictsRequest(me));
 }
 
 /// Tells a peer what is withheld, and what was cleared a short time ago.
 pub(crate) fn answer(edge: &Edge, peer: &NodeId) {
     let mut all = edge.cases.known.borrow().verdicts(edge.now());
     all.truncate(MAX_HANDED);
-    link::tell(edge, peer, &Packet::Verdicts(all));
+    link::send_to(edge, peer, &Packet::Verdicts(all));
 }
 
 /// Reads what was withheld when all daemons were lost, if this daemon reads the store for
 /// others that start; then writes what is decided, for ever.
 pub(crate) async fn keep(edge: Rc<Edge>) {
     start::await_turn(&edge).await;
-    if edge.start.get() == Start::Reads && !edge.settings().first_start {
+    if edge.start.get() == Start::ReadsStore && !edge.settings().first_start {
         read_rows(&edge).await;
     }
     loop {
--- a/crates/thistlesill-edge/src/state.rs
+++ b/crates/thistlesill-edge/src/state.rs
@@ -27,9 +27,9 @@
 use crate::limits::Limits;
 use crate::lines::Lines;
 use crate::peers::packet::StoreUse;
-use crate::peers::place::Placing;
+use crate::peers::place::PlacementState;
 use crate::peers::traffic::Traffic;
-use crate::peers::transfer::Packed;
+use crate::peers::transfer::PackedCache;
 use crate::peers::{Peers, link};
 use crate::quarantine::Cases;
 use crate::start::Start;
@@ -158,11 +158,11 @@
     /// Whether the daemon, which has just started, waits for peers.
     pub(crate) start: Cell<Start>,
     /// What daemons that start must know, by the versions of the targets and of the catalog.
-    pub(crate) packed: Packed<(u64, Option<u64>)>,
+    pub(crate) packed: PackedCache<(u64, Option<u64>)>,
     /// The catalog, by its version.
-    pub(crate) packed_catalog: Packed<u64>,
+    pub(crate) packed_catalog: PackedCache<u64>,
     /// The daemons that are known, by the revision of their list.
-    pub(crate) packed_members: Packed<u64>,
+    pub(crate) packed_members: PackedCache<u64>,
     /// Where a peer is that knows changes of targets which are not told one by one.
     pub(crate) targets_at: Cell<Option<SocketAddr>>,
     /// Where the newer catalog is that a peer told of.
@@ -181,7 +181,7 @@
     /// The work that callers ask this daemon for.
     pub(crate) asked: RefCell<DemandMeter>,
     pub(crate) peers: RefCell<Peers>,
-    pub(crate) placing: RefCell<Placing>,
+    pub(crate) placing: RefCell<PlacementState>,
     /// What was sent to peers.
     pub(crate) traffic: Traffic,
     /// Requests that end targets.
@@ -240,7 +240,7 @@
         Self {
             store: Store::new(settings.store, STORE_KEEP),
             peers: RefCell::new(Peers::default()),
-            placing: RefCell::new(Placing::default()),
+            placing: RefCell::new(PlacementState::default()),
             traffic: Traffic::default(),
             cases: Cases::default(),
             limits: Limits::default(),
@@ -250,10 +250,10 @@
             boot: rand::random(),
             catalog: RefCell::new(None),
             catalog_text: RefCell::new(Bytes::new()),
-            start: Cell::new(Start::Waits),
-            packed: Packed::default(),
-            packed_catalog: Packed::default(),
-            packed_members: Packed::default(),
+            start: Cell::new(Start::Waiting),
+            packed: PackedCache::default(),
+            packed_catalog: PackedCache::default(),
+            packed_members: PackedCache::default(),
             targets_at: Cell::new(None),
             catalog_at: Cell::new(None),
             fresh: Cell::new(Freshness::default()),
@@ -341,7 +341,7 @@
     /// What this daemon has to do with the store.
     pub(crate) fn store_use(&self) -> StoreUse {
         match (self.is_away(), self.reads.get()) {
-            (true, _) => StoreUse::Away,
+            (true, _) => StoreUse::Unreachable,
             (false, true) => StoreUse::Reads,
             (false, false) => StoreUse::Asks,
         }
@@ -349,7 +349,9 @@
 
     /// How long what a peer told is believed.
     pub(crate) fn trust(&self) -> Millis {
-        self.peers.borrow().trust(&self.settings.borrow().hall)
+        self.peers
+            .borrow()
+            .peer_timeout(&self.settings.borrow().hall)
     }
 
     /// Whether requests with keys may pass now.
@@ -459,7 +461,7 @@
     }
 
     fn with_budget<T>(&self, service: &ServiceName, step: impl FnOnce(&mut RetryBudget) -> T) -> T {
-        let daemons = self.peers.borrow().most().max(FEWEST_DAEMONS);
+        let daemons = self.peers.borrow().daemon_count().max(FEWEST_DAEMONS);
         let most = self.settings.borrow().bounds.retry_slack * SLACK_USED / daemons as f64;
         let mut retries = self.retries.borrow_mut();
         let budget = retries
@@ -480,7 +482,7 @@
                 .with("why", why)
                 .write();
             self.fleet_news.notify_one();
-            link::tell_suspects(self);
+            link::report_suspects(self);
         }
     }
 }
--- a/crates/thistlesill-edge/src/watch/catalog.rs
+++ b/crates/thistlesill-edge/src/watch/catalog.rs
@@ -10,38 +10,38 @@
 use thistlesill_platform::store::{CATALOG_KEY, Content, Rows, StoreError, Table};
 use thistlesill_policy::edge::freshness::MARGIN;
 
-use super::{AfterFailure, IDLE, PAUSE, READ, SLACK, after_failure, next_pause, note_failure};
+use super::{
+    AfterFailure, CHECK_INTERVAL, READ_TIMEOUT, RETRY_DELAY, WAIT_MARGIN, after_failure,
+    log_failure, next_retry_delay,
+};
 use crate::evacuation;
-use crate::follow::{self, FIRST_WORD};
+use crate::follow::{self, FIRST_CATALOG_TIMEOUT};
 use crate::limits;
 use crate::peers::{Reach, link, transfer};
 use crate::start;
 use crate::state::Edge;
 
-/// Time for a read that shows whether the store is away, after a connection that
-/// was kept brought no answer; an outage of 1.5 s is noticed then.
-const CONFIRM: Duration = Duration::from_millis(400);
-/// Part of the longest age of a proof for which a question about the catalog
-/// waits. A proof holds from before its question, so its age reaches twice
-/// the wait; daemons that ask this one add some; and one failed question must
-/// still fit in.
-const PROOF_PART: f64 = 0.22;
-/// Part of the time in which a new catalog must be in force for which a
-/// question waits: a daemon whose reader fell silent must notice and read the
-/// catalog itself within the rest.
-const APPLY_PART: f64 = 0.16;
-/// Part of that time for which a peer is asked for its catalog before it is read
-/// from the store.
-const FETCH_PART: f64 = 0.15;
+/// Timeout of a read that shows whether the store is unreachable, after a kept connection brought
+/// no answer; an outage of 1.5 s is detected then.
+const CONFIRM_TIMEOUT: Duration = Duration::from_millis(400);
+/// Part of the longest age of a proof for which a request for changes of the catalog waits. A proof
+/// holds from before its request, so its age reaches twice the wait; daemons that ask this one add
+/// some; and one failed request must still fit in.
+const PROOF_WAIT_RATIO: f64 = 0.22;
+/// Part of the time in which a new catalog must be in force for which such a request waits: a
+/// daemon whose reader stops sending must detect this and read the catalog itself within the rest.
+const APPLY_WAIT_RATIO: f64 = 0.16;
+/// Part of that time for which a peer is asked for its catalog before it is read from the store.
+const FETCH_TIMEOUT_RATIO: f64 = 0.15;
 
-/// Follows the catalog, for ever.
+/// Follows the catalog, without end.
 pub(crate) async fn follow_catalog(edge: Rc<Edge>) {
     let mut version = None;
-    let mut pause = PAUSE;
-    let mut limit = READ;
+    let mut delay = RETRY_DELAY;
+    let mut timeout = READ_TIMEOUT;
     start::await_turn(&edge).await;
     if edge.settings().first_start {
-        await_word(&edge).await;
+        await_first_catalog(&edge).await;
     }
     loop {
         let known = edge.catalog.borrow().is_some();
@@ -49,42 +49,42 @@
             version = None;
             tokio::select! {
                 () = edge.catalog_news.notified() => if fetch_catalog(&edge).await { continue },
-                // It may only have begun to read the targets.
+                // This daemon may only have begun to read the targets.
                 () = edge.reads_changed.notified() => continue,
-                () = tokio::time::sleep(IDLE) => continue,
+                () = tokio::time::sleep(CHECK_INTERVAL) => continue,
             }
         }
-        let asked = edge.now();
-        let answer = ask_catalog(&edge, version, limit).await;
-        limit = READ;
+        let asked_at = edge.now();
+        let answer = ask_catalog(&edge, version, timeout).await;
+        timeout = READ_TIMEOUT;
         match answer {
             Ok(rows) => {
-                note_store(&edge, None);
-                pause = PAUSE;
-                // An answer with changes may be followed by more of them; only
-                // a whole read, or an answer without changes, shows that what
-                // is in force was the newest when the question was sent.
+                record_store_status(&edge, None);
+                delay = RETRY_DELAY;
+                // An answer with changes may be followed by more of them; only a whole read, or an
+                // answer without changes, shows that the catalog in force was the newest when the
+                // request was sent.
                 let newest = version.is_none() || rows.rows.is_empty();
-                evacuation::take_rows(&edge, &rows, version.is_none());
-                if take_catalog(&edge, &rows) && newest {
-                    edge.confirm(asked);
+                evacuation::apply_rows(&edge, &rows, version.is_none());
+                if apply_row(&edge, &rows) && newest {
+                    edge.confirm(asked_at);
                 }
                 version = Some(rows.version);
             }
             Err(error) => {
-                note_failure(&edge, Table::Operators, &error, asked);
-                // Reading whole gives a proof at once.
+                log_failure(&edge, Table::Operators, &error, asked_at);
+                // A whole read gives a proof at once.
                 version = None;
                 match after_failure(&error) {
-                    AfterFailure::AskAgain => {
-                        limit = CONFIRM;
+                    AfterFailure::RetryNow => {
+                        timeout = CONFIRM_TIMEOUT;
                         edge.store_doubt.notify_waiters();
                     }
-                    AfterFailure::ReadWhole => {}
-                    AfterFailure::Wait => {
-                        note_store(&edge, Some(&error));
-                        pause_until_news(&edge, pause).await;
-                        pause = next_pause(&edge);
+                    AfterFailure::ReadAll => {}
+                    AfterFailure::RetryLater => {
+                        record_store_status(&edge, Some(&error));
+                        wait_to_retry(&edge, delay).await;
+                        delay = next_retry_delay(&edge);
                     }
                 }
             }
@@ -92,18 +92,17 @@
     }
 }
 
-/// At the first start of the whole system, waits until the daemon that will form
-/// groups has the catalog, and gets it from there. This takes one call of the store
-/// where each daemon made three: the catalog is not there yet at first, and its proof
-/// not when it comes.
-async fn await_word(edge: &Edge) {
-    let until = edge.now() + FIRST_WORD;
+/// At the first start of the whole system, waits until the daemon that will form groups has the
+/// catalog, and fetches it from there. This takes one call of the store where each daemon made
+/// three: the catalog does not exist yet at first, and its proof does not when it comes.
+async fn await_first_catalog(edge: &Edge) {
+    let deadline = edge.now() + FIRST_CATALOG_TIMEOUT;
     loop {
-        let leads = {
+        let will_plan = {
             let peers = edge.peers.borrow();
             edge.plans.get() || peers.is_first_listed(&edge.settings().name)
         };
-        if leads || edge.catalog.borrow().is_some() || edge.now() >= until {
+        if will_plan || edge.catalog.borrow().is_some() || edge.now() >= deadline {
             return;
         }
         tokio::select! {
@@ -112,75 +111,80 @@
                     return;
                 }
             }
-            () = tokio::time::sleep(IDLE) => {}
+            () = tokio::time::sleep(CHECK_INTERVAL) => {}
         }
     }
 }
 
-/// Gets the newer catalog that a peer told of from that peer; returns whether this
-/// worked. On a calm day of 63 daemons with one new catalog, 142 reads of it are left of
-/// 197.
+/// Fetches the newer catalog that a peer announced from that peer; returns whether this succeeded.
+/// On a day without faults with 63 daemons and one new catalog, this leaves 142 of 197 reads of the
+/// catalog.
 async fn fetch_catalog(edge: &Edge) -> bool {
     let Some(address) = edge.catalog_at.take() else {
         return false;
     };
-    let limit = edge.settings().bounds.apply.duration().mul_f64(FETCH_PART);
-    match transfer::fetch_catalog(address, limit).await {
+    let timeout = edge
+        .settings()
+        .bounds
+        .apply
+        .duration()
+        .mul_f64(FETCH_TIMEOUT_RATIO);
+    match transfer::fetch_catalog(address, timeout).await {
         Ok(text) => {
-            let taken = put_text(edge, &text);
-            // The proof that goes with it.
-            follow::ask(edge);
-            taken
+            let is_valid = apply_text(edge, &text);
+            // Asks for the proof that goes with the catalog.
+            follow::request_proof(edge);
+            is_valid
         }
         Err(error) => {
-            start::note_failed(edge, address, &error);
+            start::log_failed(edge, address, &error);
             false
         }
     }
 }
 
-/// Pauses after a failure, until a peer tells of a newer catalog at most: the store
-/// may be back, and a pause to its end left an old catalog in force for up to 3.4 s
-/// after a cut had healed.
-async fn pause_until_news(edge: &Edge, pause: Duration) {
+/// Waits after a failure, but no longer than until a peer announces a newer catalog: the store may
+/// be back, and waiting to the end left an old catalog in force for up to 3.4 s after a network
+/// partition had healed.
+async fn wait_to_retry(edge: &Edge, delay: Duration) {
     tokio::select! {
-        () = tokio::time::sleep(pause) => {}
+        () = tokio::time::sleep(delay) => {}
         () = edge.listed.notified() => {}
         () = edge.learned.notified() => {}
         () = edge.catalog_news.notified() => {
             if !fetch_catalog(edge).await {
-                tokio::time::sleep(PAUSE.min(pause)).await;
+                tokio::time::sleep(RETRY_DELAY.min(delay)).await;
             }
         }
     }
 }
 
-/// Reads the catalog, within `limit`, or awaits changes after a version.
+/// Reads the catalog, within `timeout`, or waits for changes after a version.
 async fn ask_catalog(
     edge: &Edge,
     version: Option<u64>,
-    limit: Duration,
+    timeout: Duration,
 ) -> Result<Rows, StoreError> {
     let Some(version) = version else {
-        return edge.store.read(Table::Operators, limit).await;
+        return edge.store.read(Table::Operators, timeout).await;
     };
     let wait = catalog_wait(edge);
     edge.store
-        .changes(Table::Operators, version, wait, SLACK)
+        .changes(Table::Operators, version, wait, WAIT_MARGIN)
         .await
 }
 
 fn catalog_wait(edge: &Edge) -> Duration {
     let bounds = edge.settings().bounds;
-    let apply = bounds.apply.duration().mul_f64(APPLY_PART);
+    let apply = bounds.apply.duration().mul_f64(APPLY_WAIT_RATIO);
     match bounds.revoke {
         None => apply,
-        Some(bound) => apply.min((bound - MARGIN).duration().mul_f64(PROOF_PART)),
+        Some(bound) => apply.min((bound - MARGIN).duration().mul_f64(PROOF_WAIT_RATIO)),
     }
 }
 
-/// Notes whether the store answers, with a line when that changes.
-fn note_store(edge: &Edge, error: Option<&StoreError>) {
+/// Records whether the store answers, and logs when that changes.
+fn record_store_status(edge: &Edge, error: Option<&StoreError>) {
     let now = edge.now();
     if error.is_none() {
         edge.book.borrow_mut().store_answered(now);
@@ -188,13 +192,13 @@
         edge.book.borrow_mut().store_failed();
         edge.store_doubt.notify_waiters();
     }
-    let was_away = edge.away.replace(error.map(|_| now)).is_some();
-    if was_away == error.is_some() {
+    let was_unreachable = edge.away.replace(error.map(|_| now)).is_some();
+    if was_unreachable == error.is_some() {
         return;
     }
     if error.is_none() {
-        // The others there ask this one, without waiting for its next beat.
-        link::tell_beat(edge, Reach::Near);
+        // The other daemons there can ask this one without waiting for its next heartbeat.
+        link::send_heartbeat(edge, Reach::Near);
     }
     let line = match error {
         None => edge.lines.line("store_regained"),
@@ -204,41 +208,41 @@
     line.maybe("proof_age_ms", age).write();
 }
 
-/// Takes in the catalog if it is newer; returns whether what is in force is
-/// the newest that the store has.
-fn take_catalog(edge: &Edge, rows: &Rows) -> bool {
+/// Applies the catalog's row if it is newer. Returns whether the catalog in force is the newest
+/// that the store has.
+fn apply_row(edge: &Edge, rows: &Rows) -> bool {
     let row = rows.rows.iter().rfind(|row| row.key == CATALOG_KEY);
     match row.map(|row| &row.value) {
         None | Some(Content::Gone) => edge.catalog.borrow().is_some(),
-        Some(Content::Bytes(bytes)) => put_text(edge, bytes),
+        Some(Content::Bytes(bytes)) => apply_text(edge, bytes),
         Some(Content::Unreadable(why)) => {
-            note_refused(edge, why);
+            log_refused(edge, why);
             false
         }
     }
 }
 
-/// Takes in a catalog as the operators wrote it; returns whether it is sound.
-pub(crate) fn put_text(edge: &Edge, text: &[u8]) -> bool {
+/// Decodes and applies a catalog as the operators wrote it; returns whether it is valid.
+pub(crate) fn apply_text(edge: &Edge, text: &[u8]) -> bool {
     match decode_catalog(text) {
         Ok(catalog) => {
-            put_catalog(edge, catalog, text);
+            apply_catalog(edge, catalog, text);
             true
         }
         Err(error) => {
-            note_refused(edge, error);
+            log_refused(edge, error);
             false
         }
     }
 }
 
-/// Notes a catalog that cannot be taken in; the one in force stays so.
-fn note_refused(edge: &Edge, why: impl std::fmt::Display) {
+/// Logs a catalog that cannot be applied; the one in force stays.
+fn log_refused(edge: &Edge, why: impl std::fmt::Display) {
     edge.lines.line("catalog_refused").with("why", why).write();
     metrics::counter!("thistlesill_edge_catalogs_refused_total").increment(1);
 }
 
-fn put_catalog(edge: &Edge, catalog: Catalog, text: &[u8]) {
+fn apply_catalog(edge: &Edge, catalog: Catalog, text: &[u8]) {
     let old = edge.catalog().map(|c| c.version);
     if old.is_some_and(|old| old >= catalog.version) {
         return;
