--- a/crates/thistlesill-edge/src/watch/targets.rs
+++ b/crates/thistlesill-edge/src/watch/targets.rs
@@ -10,76 +10,78 @@
 use thistlesill_policy::edge::book::Listing;
 use thistlesill_policy::edge::feed::Change;
 
-use super::{AfterFailure, IDLE, PAUSE, READ, SLACK, after_failure, next_pause, note_failure};
+use super::{
+    AfterFailure, CHECK_INTERVAL, READ_TIMEOUT, RETRY_DELAY, WAIT_MARGIN, after_failure,
+    log_failure, next_retry_delay,
+};
 use crate::state::Edge;
 use crate::{follow, limits, start};
 
-/// Part of the time after which a target that leaves gets no new requests for
-/// which a question about targets waits. With a wait of 8 s, a connection that
-/// fell silent kept all daemons sending to such targets for up to 6 s too long.
-const DRAIN_PART: f64 = 0.2;
-/// Between two batches of changes to targets, so that changes that belong
-/// together come as one.
-const BATCH: Duration = Duration::from_millis(200);
-/// The same for the planner; with 40 ms its questions were a third of all calls of the
-/// store on a calm day of 63 daemons.
-const PLANNER_BATCH: Duration = Duration::from_millis(120);
-/// Signs of the reason for which an entry is refused that its line holds: it quotes what
-/// another writer wrote.
-const MAX_WHY: usize = 120;
+/// Part of the time after which a target that leaves gets no new requests for which a request for
+/// changes of targets waits. With a wait of 8 s, a connection that stopped responding kept all
+/// daemons sending to such targets for up to 6 s too long.
+const DRAIN_WAIT_RATIO: f64 = 0.2;
+/// Time between two batches of changes to targets, so that related changes arrive as one batch.
+const BATCH_INTERVAL: Duration = Duration::from_millis(200);
+/// Time between two batches for the planner; with 40 ms its requests were a third of all calls of
+/// the store on a day without faults of 63 daemons.
+const PLANNER_BATCH_INTERVAL: Duration = Duration::from_millis(120);
+/// Characters of the reason for which an entry is refused that its log line holds: the reason
+/// quotes what another writer wrote.
+const MAX_REASON_CHARS: usize = 120;
 
-/// Follows the targets' entries, for ever.
+/// Follows the targets' entries, without end.
 pub(crate) async fn follow_targets(edge: Rc<Edge>) {
     start::await_turn(&edge).await;
-    let mut whole = !edge.feed.borrow().is_known();
-    let mut pause = PAUSE;
+    let mut read_all = !edge.feed.borrow().is_known();
+    let mut delay = RETRY_DELAY;
     loop {
-        if whole && start::fetch_lack(&edge).await {
-            whole = false;
+        if read_all && start::fetch_missing(&edge).await {
+            read_all = false;
         }
-        if !whole && !follow::reads_targets(&edge) {
+        if !read_all && !follow::reads_targets(&edge) {
             tokio::select! {
-                () = edge.targets_news.notified() => whole = true,
+                () = edge.targets_news.notified() => read_all = true,
                 () = edge.reads_changed.notified() => {}
-                () = tokio::time::sleep(IDLE) => {}
+                () = tokio::time::sleep(CHECK_INTERVAL) => {}
             }
             continue;
         }
-        let asked = edge.now();
+        let asked_at = edge.now();
         let answer = tokio::select! {
-            answer = ask_targets(&edge, whole) => answer,
+            answer = ask_targets(&edge, read_all) => answer,
             () = edge.store_doubt.notified() => continue,
         };
         match answer {
             Ok(rows) => {
-                if take_targets(&edge, &rows, whole) {
-                    edge.targets_read.set(Some(asked));
-                    edge.confirm_targets(asked);
+                if apply_rows(&edge, &rows, read_all) {
+                    edge.targets_read.set(Some(asked_at));
+                    edge.confirm_targets(asked_at);
                 }
-                // Where it was not taken, peers told of later changes meanwhile, and all before
-                // those are known. Read again until none had come, 3,000 targets that go on
-                // changing were read 85 times by a daemon.
-                whole = false;
-                pause = PAUSE;
-                let batch = if edge.plans.get() {
-                    PLANNER_BATCH
+                // Rows that were not applied are older than changes that peers sent meanwhile, and
+                // all before those are known. When the table was read again until no such changes
+                // had arrived, a daemon read 3,000 targets that go on changing 85 times.
+                read_all = false;
+                delay = RETRY_DELAY;
+                let interval = if edge.plans.get() {
+                    PLANNER_BATCH_INTERVAL
                 } else {
-                    BATCH
+                    BATCH_INTERVAL
                 };
-                tokio::time::sleep(batch).await;
+                tokio::time::sleep(interval).await;
             }
             Err(error) => {
-                note_failure(&edge, Table::Targets, &error, asked);
+                log_failure(&edge, Table::Targets, &error, asked_at);
                 match after_failure(&error) {
-                    AfterFailure::AskAgain => {}
-                    AfterFailure::ReadWhole => whole = true,
-                    AfterFailure::Wait => {
+                    AfterFailure::RetryNow => {}
+                    AfterFailure::ReadAll => read_all = true,
+                    AfterFailure::RetryLater => {
                         tokio::select! {
-                            () = tokio::time::sleep(pause) => {}
+                            () = tokio::time::sleep(delay) => {}
                             () = edge.targets_news.notified() => {}
                             () = edge.listed.notified() => {}
                         }
-                        pause = next_pause(&edge);
+                        delay = next_retry_delay(&edge);
                     }
                 }
             }
@@ -87,51 +89,55 @@
     }
 }
 
-async fn ask_targets(edge: &Edge, whole: bool) -> Result<Rows, StoreError> {
-    if whole {
-        return edge.store.read(Table::Targets, READ).await;
+async fn ask_targets(edge: &Edge, read_all: bool) -> Result<Rows, StoreError> {
+    if read_all {
+        return edge.store.read(Table::Targets, READ_TIMEOUT).await;
     }
     let version = edge.feed.borrow().version();
     let wait = targets_wait(edge);
     edge.store
-        .changes(Table::Targets, version, wait, SLACK)
+        .changes(Table::Targets, version, wait, WAIT_MARGIN)
         .await
 }
 
 fn targets_wait(edge: &Edge) -> Duration {
-    edge.settings().bounds.drain.duration().mul_f64(DRAIN_PART)
+    edge.settings()
+        .bounds
+        .drain
+        .duration()
+        .mul_f64(DRAIN_WAIT_RATIO)
 }
 
-/// Takes in what the store answered; returns whether all its changes are known
-/// now.
-fn take_targets(edge: &Edge, rows: &Rows, whole: bool) -> bool {
+/// Applies what the store answered; returns whether all its changes are known now.
+fn apply_rows(edge: &Edge, rows: &Rows, read_all: bool) -> bool {
     let changes: Vec<Change> = rows.rows.iter().map(|row| decode(edge, row)).collect();
-    if whole {
+    if read_all {
         let listings = changes.into_iter().map(|c| c.entry).collect();
-        return put_all(edge, listings, rows.version);
+        return apply_all(edge, listings, rows.version);
     }
     let before = edge.feed.borrow().version();
     let changes = edge.feed.borrow().unknown(changes);
     edge.feed.borrow_mut().extend(&changes, rows.version);
     if !changes.is_empty() {
-        // Who reads for itself alone has fallen behind, and the others know all of it.
+        // A daemon that reads for itself alone has fallen behind, and the others know all these
+        // changes.
         if follow::reads_for_others(edge) {
-            follow::tell_changes(edge, before, &changes, rows.version);
+            follow::broadcast_changes(edge, before, &changes, rows.version);
         }
         apply(edge, changes.into_iter().map(|c| c.entry).collect());
     }
     true
 }
 
-/// Takes in all targets as a peer knew them at a version of the store; returns whether
-/// they are news.
-pub(crate) fn put_targets(edge: &Edge, targets: Vec<Target>, version: u64) -> bool {
+/// Applies all targets as a peer knew them at a version of the store. Returns whether they were
+/// newer than what is known.
+pub(crate) fn apply_targets(edge: &Edge, targets: Vec<Target>, version: u64) -> bool {
     let listings = targets.into_iter().map(|t| Listing::Listed(Box::new(t)));
-    put_all(edge, listings.collect(), version)
+    apply_all(edge, listings.collect(), version)
 }
 
-/// Takes in all entries at a version, unless peers told of later changes meanwhile.
-fn put_all(edge: &Edge, listings: Vec<Listing>, version: u64) -> bool {
+/// Applies all entries at a version, unless peers sent later changes meanwhile.
+fn apply_all(edge: &Edge, listings: Vec<Listing>, version: u64) -> bool {
     let is_known = {
         let feed = edge.feed.borrow();
         if feed.is_ahead_of(version) {
@@ -143,13 +149,10 @@
         let changes = edge.book.borrow().difference(listings);
         let changes: Vec<Change> = changes
             .into_iter()
-            .map(|what| Change {
-                version,
-                entry: what,
-            })
+            .map(|entry| Change { version, entry })
             .collect();
-        // Begun anew, what is kept for others would begin here, and whoever lags by some
-        // tenths of a second would read all targets as well.
+        // A restarted feed would keep changes for other daemons from here on only, and a daemon
+        // that lags by some tenths of a second would read all targets as well.
         edge.feed.borrow_mut().extend(&changes, version);
         apply(edge, changes.into_iter().map(|c| c.entry).collect());
         return true;
@@ -165,16 +168,16 @@
     true
 }
 
-/// Takes in changes of targets.
+/// Applies changes of targets.
 pub(crate) fn apply(edge: &Edge, listings: Vec<Listing>) {
     if listings.is_empty() {
         return;
     }
     for listing in &listings {
         match listing {
-            Listing::Listed(target) => note_target(edge, target),
+            Listing::Listed(target) => log_target(edge, target),
             Listing::Gone(id) => edge.lines.line("target_gone").with("target", id).write(),
-            Listing::Unusable(id) => note_unusable(edge, id),
+            Listing::Unusable(id) => log_unusable(edge, id),
         }
     }
     for listing in &listings {
@@ -189,36 +192,36 @@
     edge.fleet_news.notify_one();
 }
 
-/// Takes in a row of a target. One that is no sound entry, whoever wrote it, names no
-/// target to use on any daemon: had it been passed over, some daemons would have gone
-/// on with the entry before it, and others, who read all targets, not.
+/// Decodes a row of a target. An invalid entry, whichever writer it came from, makes its target
+/// unusable on every daemon: if it were skipped, some daemons would go on with the entry before it,
+/// and others, who read all targets, would not.
 fn decode(edge: &Edge, row: &Row) -> Change {
     let instance = || InstanceId::from(row.key.as_str());
-    let what = match &row.value {
+    let entry = match &row.value {
         Content::Gone => Listing::Gone(instance()),
-        Content::Unreadable(why) => refuse(edge, instance(), "unreadable", why),
+        Content::Unreadable(why) => log_refused(edge, instance(), "unreadable", why),
         Content::Bytes(bytes) => match decode_target(&row.key, bytes) {
             Ok(target) => Listing::Listed(Box::new(target)),
-            Err(error) => refuse(edge, instance(), "malformed", &error.text),
+            Err(error) => log_refused(edge, instance(), "malformed", &error.text),
         },
     };
     Change {
         version: row.version,
-        entry: what,
+        entry,
     }
 }
 
-/// Notes an entry that names no target to use.
-fn refuse(edge: &Edge, instance: InstanceId, cause: &'static str, why: &str) -> Listing {
+/// Logs an entry that names no usable target.
+fn log_refused(edge: &Edge, instance: InstanceId, cause: &'static str, why: &str) -> Listing {
     metrics::counter!("thistlesill_edge_targets_refused_total", "cause" => cause).increment(1);
     let line = edge.lines.line("target_refused").with("target", &instance);
-    let why = why.chars().take(MAX_WHY).collect::<String>();
+    let why = why.chars().take(MAX_REASON_CHARS).collect::<String>();
     line.with("cause", cause).with("why", why).write();
     Listing::Unusable(instance)
 }
 
-/// Writes a line about a target that is used no longer, since its entry cannot be.
-fn note_unusable(edge: &Edge, instance: &InstanceId) {
+/// Logs that a target is no longer used since its entry is unusable.
+fn log_unusable(edge: &Edge, instance: &InstanceId) {
     if edge.book.borrow().incarnation(instance).is_some() {
         edge.lines
             .line("target_unusable")
@@ -227,28 +230,30 @@
     }
 }
 
-/// Writes a line about a target's change if it changes who takes requests.
-fn note_target(edge: &Edge, target: &Target) {
+/// Logs a target's change if it changes which targets take requests.
+fn log_target(edge: &Edge, target: &Target) {
     let book = edge.book.borrow();
-    if let Some(life) = book.incarnation(target.id.instance())
-        && life.is_other_incarnation_of(&target.id)
+    if let Some(previous) = book.incarnation(target.id.instance())
+        && previous.is_other_incarnation_of(&target.id)
     {
         edge.lines
             .line("target_restarted")
             .with("target", &target.id)
-            .with("before", life.incarnation())
+            .with("before", previous.incarnation())
             .with("now", target.id.incarnation())
             .write();
     }
     let old = book
         .of_service(&target.service)
         .and_then(|t| t.get(&target.id));
-    let leads = target.is_open_leader();
-    if old.is_some_and(|old| old.is_open_leader() == leads && old.leaving == target.leaving) {
+    let is_open_leader = target.is_open_leader();
+    if old
+        .is_some_and(|old| old.is_open_leader() == is_open_leader && old.leaving == target.leaving)
+    {
         return;
     }
     if target.domain.is_some()
-        && !leads
+        && !is_open_leader
         && !target.leaving
         && old.is_none_or(|o| !o.is_open_leader())
     {
@@ -259,7 +264,7 @@
         .line("target_changed")
         .with("target", &target.id)
         .with("address", target.address)
-        .with("serves", leads || target.domain.is_none())
+        .with("serves", is_open_leader || target.domain.is_none())
         .with("leaving", target.leaving)
         .maybe("group", group)
         .write();
