--- a/crates/thistlesill-edge/src/peers/link.rs
+++ b/crates/thistlesill-edge/src/peers/link.rs
@@ -219,7 +219,7 @@
             Ok(Packet::Lost(lost)) => quarantine::hear_lost(&edge, &lost),
             Ok(Packet::Verdicts(verdicts)) => quarantine::hear_verdicts(&edge, &verdicts),
             Ok(Packet::VerdictsRequest(peer)) => quarantine::answer(&edge, &peer),
-            Ok(Packet::Limits(told)) => limits::hear(&edge, &told),
+            Ok(Packet::Limits(updates)) => limits::hear(&edge, &updates),
             Ok(Packet::GrantRequest(request)) => limits::answer(&edge, &request),
             Ok(Packet::Grant(reply)) => limits::take_reply(&edge, reply),
             Ok(Packet::DemandReport(report)) => edge
--- a/crates/thistlesill-edge/src/peers/transfer.rs
+++ b/crates/thistlesill-edge/src/peers/transfer.rs
@@ -7,9 +7,9 @@
 //!
 //! The exchange is one frame each way. A daemon that starts first receives a frame saying that the
 //! reply will follow, and the reply as soon as the peer has what was asked for. While a daemon
-//! serves as many transfers as its connection bears, further peers wait in a queue, for as long as
-//! they like; they can still read the store. When such peers were refused instead, two thirds of 62
-//! daemons read the store each time.
+//! serves as many transfers as its connection bears, further peers wait in a queue, until
+//! `SERVE_TIMEOUT` at most; they can still read the store. When such peers were refused instead,
+//! two thirds of 62 daemons read the store each time.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -45,7 +45,7 @@
 /// Most peers that are queued or served; each takes a file descriptor. The first seed is asked by
 /// all daemons of a fleet at its start; those beyond the limit ask the next seed.
 const MAX_QUEUED: usize = 1_024;
-/// Timeout for serving one transfer.
+/// Timeout for serving one transfer, including the time in the queue.
 const SERVE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Largest size of a catalog and 12,000 targets when decompressed.
 const MAX_SNAPSHOT_BYTES: usize = 32 << 20;
@@ -173,7 +173,7 @@
 }
 
 /// Caches the last packed value for the next peer that asks while its source, identified by the
-/// key, stays the same: when all daemons start, four ask for each.
+/// key, stays the same: when all daemons start, four peers ask.
 #[derive(Debug, Default)]
 pub(crate) struct PackedCache<K> {
     last: RefCell<Option<(K, Bytes)>>,
--- a/crates/thistlesill-edge/src/start.rs
+++ b/crates/thistlesill-edge/src/start.rs
@@ -43,7 +43,7 @@
     Done,
 }
 
-/// Obtains what this daemon must know to serve from a peer, or makes it read the store.
+/// Obtains what this daemon must know to serve from a peer, or has this daemon read the store.
 pub(crate) async fn run(edge: Rc<Edge>) {
     let (from, next) = match await_source(&edge).await {
         FirstSource::Fetched => ("a peer that announced its data".to_owned(), Start::Done),
