--- a/crates/thistlesill-edge/tests/it/evacuation.rs
+++ b/crates/thistlesill-edge/tests/it/evacuation.rs
@@ -11,15 +11,15 @@
 
 use crate::support::{ask, planner, read, sleep, stream, world};
 
-/// The time in which an evacuation, or its end, is in force on all daemons.
+/// Time within which an evacuation, or its end, is in force on all daemons.
 const IN_FORCE: Duration = Duration::from_secs(1);
 
 const SECOND: Duration = Duration::from_secs(1);
-/// The most requests that a target may get in a second while it warms up: half more than it
-/// takes, and five.
+/// Most requests that a target may get in a second while it warms up: half more than its warm-up
+/// rate, and five.
 pub(crate) const WARMUP_BOUND: usize = (WARMUP_RATE * 1.5) as usize + 5;
 
-/// A deployment with a plain target in each of two data centres; all others are in `h`.
+/// Starts a deployment with a plain target in each of two data centres; all others are in `h`.
 async fn two_halls(net: u8, daemons: u8) -> World {
     let world = world(net, daemons).await;
     world.targets.place_in("p-1", "other");
@@ -37,11 +37,11 @@
     world.store.remove("op", &format!("evacuate/{hall}"));
 }
 
-/// Sends reads through all daemons in turn for a time; returns the answers.
-async fn press(world: &World, time: Duration) -> Vec<Got> {
+/// Sends reads through all daemons in turn for `duration`; returns the answers.
+async fn send_reads(world: &World, duration: Duration) -> Vec<Got> {
     let start = Instant::now();
     let mut answers = Vec::new();
-    while start.elapsed() < time {
+    while start.elapsed() < duration {
         for daemon in &world.daemons {
             let id = format!("{}-{}", daemon.name, start.elapsed().as_nanos());
             if let Ok(got) = call(daemon.callers(), &read(&id)).await {
@@ -53,7 +53,7 @@
     answers
 }
 
-/// The runs that began in `h` since a moment.
+/// Returns the number of runs that began in `h` after `since`.
 fn runs_in_hall(world: &World, since: Instant) -> usize {
     let all = (0..8).map(|n| format!("i-{n:03}"));
     let all = all.chain(["p-0".to_owned()]);
@@ -71,11 +71,13 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_evacuated_data_centre_gets_no_requests_until_it_is_taken_back() {
     let world = two_halls(111, 6).await;
-    assert!(all_served(&press(&world, Duration::from_secs(1)).await));
+    assert!(all_served(
+        &send_reads(&world, Duration::from_secs(1)).await
+    ));
     evacuate(&world, "h");
     sleep(1_000).await;
     let since = Instant::now();
-    let answers = press(&world, Duration::from_secs(2)).await;
+    let answers = send_reads(&world, Duration::from_secs(2)).await;
     assert!(all_served(&answers), "the other data centre serves");
     for daemon in 0..6 {
         let sent = Instant::now();
@@ -118,7 +120,7 @@
     sleep(1_000).await;
     world.targets.set_fault("p-1", Fault::LoseAnswers);
     let since = Instant::now();
-    press(&world, Duration::from_secs(2)).await;
+    send_reads(&world, Duration::from_secs(2)).await;
     assert_eq!(runs_in_hall(&world, since), 0);
 }
 
@@ -130,13 +132,13 @@
     sleep(1_000).await;
     let since = Instant::now();
     world.daemons[3].signal(Signal::SIGCONT);
-    let plans = planner(&world);
-    for daemon in [plans, 5] {
+    let planner_index = planner(&world);
+    for daemon in [planner_index, 5] {
         world.daemons[daemon].kill().await;
         world.daemons[daemon].start();
     }
-    press(&world, Duration::from_secs(4)).await;
-    // One that wakes has sent what it had in hand.
+    send_reads(&world, Duration::from_secs(4)).await;
+    // A daemon that resumes first sends the requests that it had already accepted.
     let runs = runs_in_hall(&world, since + Duration::from_millis(500));
     assert_eq!(runs, 0);
 }
@@ -144,20 +146,20 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_daemon_that_the_store_turns_away_hears_of_an_evacuation_from_its_peers() {
     let world = two_halls(115, 6).await;
-    let plans = planner(&world);
-    let cut = (0..6).filter(|daemon| *daemon != plans);
-    for daemon in cut {
+    let planner_index = planner(&world);
+    let others = (0..6).filter(|daemon| *daemon != planner_index);
+    for daemon in others {
         world.links[daemon].set(Harm::Silent);
     }
     evacuate(&world, "h");
     sleep(1_000).await;
     let since = Instant::now();
-    let answers = press(&world, Duration::from_secs(2)).await;
+    let answers = send_reads(&world, Duration::from_secs(2)).await;
     assert!(all_served(&answers), "the other data centre serves");
     assert_eq!(runs_in_hall(&world, since), 0);
 }
 
-/// Its entry tells only later that it warms up again.
+/// The target's entry shows only later that it warms up again.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_target_that_is_taken_back_gets_no_more_than_one_that_warms_up() {
     let world = two_halls(117, 6).await;
@@ -166,12 +168,12 @@
     let since = Instant::now();
     withdraw(&world, "h");
     let targets = world.targets.clone();
-    let warms = tokio::spawn(async move {
+    let warm_up = tokio::spawn(async move {
         sleep(400).await;
         targets.warm_up("p-0", Duration::from_millis(2_600));
     });
-    press(&world, Duration::from_secs(3)).await;
-    warms.await.expect("the task ends");
+    send_reads(&world, Duration::from_secs(3)).await;
+    warm_up.await.expect("the task ends");
     let most = world.targets.ledger.most_at("p-0", since, SECOND);
     assert!(most <= WARMUP_BOUND, "{most} requests in a second");
     assert!(most >= 5, "only {most} requests in a second");
@@ -189,14 +191,14 @@
     evacuate(&world, "h");
     sleep(IN_FORCE.as_millis() as u64).await;
     let since = Instant::now();
-    press(&world, Duration::from_secs(1)).await;
+    send_reads(&world, Duration::from_secs(1)).await;
     assert_eq!(runs_in_hall(&world, since), 0);
-    // Both at once, and the first one taken back.
+    // Both are evacuated at once, and the first one is taken back.
     evacuate(&world, "other");
     withdraw(&world, "h");
-    // Until its target counts as warm.
+    // Waits until its target counts as warm.
     sleep(4_000).await;
-    let answers = press(&world, Duration::from_secs(1)).await;
+    let answers = send_reads(&world, Duration::from_secs(1)).await;
     assert!(all_served(&answers), "the first one serves again");
     let health = Ask::new("health", "GET", "/api/ready");
     let ready = call(world.daemons[0].health(), &health).await;
--- a/crates/thistlesill-edge/tests/it/owners.rs
+++ b/crates/thistlesill-edge/tests/it/owners.rs
@@ -1,4 +1,4 @@
-//! Requests are placed by the owner of their scope, and without one.
+//! Requests are placed by the owner of their scope, or without one when the owner is unreachable.
 
 use std::net::UdpSocket;
 use std::time::{Duration, Instant};
@@ -11,7 +11,7 @@
 /// Daemons with even numbers are in one data centre, the others in another.
 const DAEMONS: u8 = 6;
 
-/// Sends a stream to a daemon and returns who placed it.
+/// Sends a stream to a daemon and returns which daemon placed it.
 async fn placed(world: &World, daemon: usize, id: &str) -> String {
     let got = ask(world, daemon, stream(id)).await;
     assert_eq!(got.status, 200, "{id} at daemon {daemon}");
@@ -20,36 +20,36 @@
     placed.split(' ').next().unwrap_or_default().to_owned()
 }
 
-/// The line about a request that ended; it is written out within a tenth of a second,
+/// Returns the log line of a request that ended. The line appears within a tenth of a second, or
 /// later on a busy machine.
 async fn line(world: &World, daemon: usize, id: &str) -> String {
-    let until = Instant::now() + Duration::from_secs(5);
+    let deadline = Instant::now() + Duration::from_secs(5);
     loop {
         let lines = world.lines(daemon, &format!("ev=request id={id} "));
         if let Some(line) = lines.last() {
             return line.clone();
         }
-        assert!(Instant::now() < until, "no line tells of {id}");
+        assert!(Instant::now() < deadline, "no line about {id}");
         sleep(50).await;
     }
 }
 
-/// The daemon of the first data centre that owns the scope of streams.
+/// Returns the daemon of the first data centre that owns the scope of streams.
 async fn find_owner(world: &World) -> usize {
-    let mut by = Vec::new();
+    let mut placements = Vec::new();
     for daemon in [0, 2, 4] {
-        by.push((
+        placements.push((
             daemon,
             placed(world, daemon, &format!("find-{daemon}")).await,
         ));
     }
-    let owners: Vec<usize> = by
+    let owners: Vec<usize> = placements
         .iter()
         .filter(|(_, by)| by == "itself")
         .map(|(daemon, _)| *daemon)
         .collect();
-    let others = by.iter().filter(|(_, by)| by == "owner").count();
-    assert_eq!((owners.len(), others), (1, 2), "{by:?}");
+    let others = placements.iter().filter(|(_, by)| by == "owner").count();
+    assert_eq!((owners.len(), others), (1, 2), "{placements:?}");
     owners[0]
 }
 
@@ -61,11 +61,11 @@
     let other = (owner + 2) % usize::from(DAEMONS);
     world.daemons[owner].signal(Signal::SIGSTOP);
     for number in 0..4 {
-        let begun = Instant::now();
+        let started = Instant::now();
         let by = placed(&world, other, &format!("frozen-{number}")).await;
         assert!(by == "alone" || by == "itself", "{by}");
-        // An answer of the stand-in's engine takes a quarter of a second.
-        assert!(begun.elapsed() < Duration::from_secs(1), "{number}");
+        // The stand-in engine takes a quarter of a second to answer.
+        assert!(started.elapsed() < Duration::from_secs(1), "{number}");
     }
     sleep(2_000).await;
     let by = placed(&world, other, "succeeded").await;
@@ -92,7 +92,7 @@
     assert!(owner < usize::from(DAEMONS));
 }
 
-/// One that starts among others does not know what they have under way.
+/// A daemon that starts among others does not know their requests in progress yet.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_daemon_that_starts_among_others_owns_nothing_at_first() {
     let mut world = world(80, DAEMONS).await;
--- a/crates/thistlesill-edge/tests/it/seeds.rs
+++ b/crates/thistlesill-edge/tests/it/seeds.rs
@@ -1,7 +1,8 @@
-//! Daemons find each other through the seeds of their settings.
+//! Daemons discover each other through the seeds of their settings.
 //!
-//! Symptom: each of 984 daemons wrote a row and read the list of all; 24,957 calls of the
-//! store, most of them refused, cost half of what callers were served on a calm day.
+//! Guards against each daemon writing a row and reading the list of all: with 984 daemons that made
+//! 24,957 calls of the store, most of them refused, and they cost half of what callers were served
+//! on a day without faults.
 
 use std::time::Duration;
 
@@ -12,20 +13,20 @@
 
 const DAEMONS: usize = 8;
 
-/// The daemons that the store lists.
-fn listed(world: &World) -> usize {
+/// Returns the number of daemons that the store lists.
+fn listed_daemons(world: &World) -> usize {
     let names = world.daemons.iter().map(|daemon| &daemon.name);
     names
         .filter(|name| world.store.get("daemons", name).is_some())
         .count()
 }
 
-/// Waits until a daemon knows as many peers, by its `status` lines.
-async fn knows(world: &World, daemon: usize, peers: usize) {
-    let word = format!("peers={peers} ");
+/// Waits until a daemon knows `peers` peers, according to its `status` lines.
+async fn wait_for_peers(world: &World, daemon: usize, peers: usize) {
+    let pattern = format!("peers={peers} ");
     for _ in 0..120 {
         if world
-            .lines(daemon, &word)
+            .lines(daemon, &pattern)
             .iter()
             .any(|l| l.contains("ev=status"))
         {
@@ -40,10 +41,10 @@
 async fn daemons_that_start_together_know_each_other_without_reading_the_store() {
     let world = seeded_world(121, DAEMONS as u8).await;
     for daemon in 0..DAEMONS {
-        knows(&world, daemon, DAEMONS - 1).await;
+        wait_for_peers(&world, daemon, DAEMONS - 1).await;
     }
     assert_eq!(world.store.asked(DAEMONS_READ), 0, "reads of the list");
-    assert_eq!(listed(&world), DAEMONS);
+    assert_eq!(listed_daemons(&world), DAEMONS);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -54,7 +55,7 @@
     world.daemons[5].start();
     sleep(1_000).await;
     assert_eq!(ask(&world, 5, read("again")).await.status, 200);
-    knows(&world, 5, DAEMONS - 1).await;
+    wait_for_peers(&world, 5, DAEMONS - 1).await;
     assert_eq!(world.store.asked(DAEMONS_READ), 1, "reads of the list");
 }
 
@@ -69,10 +70,10 @@
     world.daemons[6].start();
     sleep(4_500).await;
     assert_eq!(ask(&world, 6, read("alone")).await.status, 200);
-    knows(&world, 6, DAEMONS - 3).await;
+    wait_for_peers(&world, 6, DAEMONS - 3).await;
     let reads = world.store.asked(DAEMONS_READ);
     assert!(reads <= 2, "{reads} reads of the list");
-    assert_eq!(listed(&world), DAEMONS);
+    assert_eq!(listed_daemons(&world), DAEMONS);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -86,9 +87,9 @@
         daemon.start();
     }
     sleep(300).await;
-    let serves = |good| good;
-    let time = Duration::from_millis(2_700);
+    let all_answered = |good| good;
+    let limit = Duration::from_millis(2_700);
     world
-        .wait_until("all daemons answer again", time, serves)
+        .wait_until("all daemons answer again", limit, all_answered)
         .await;
 }
--- a/crates/thistlesill-edge/tests/it/silence.rs
+++ b/crates/thistlesill-edge/tests/it/silence.rs
@@ -1,22 +1,9 @@
-//! Open connections to the store that fall silent for good, while new ones work.
+//! Open connections to the store that stop responding for good, while new ones work.
 //!
-//! Symptom: requests reached targets 2 to 6 s after these had said that they
-//! leave, where 2 s are allowed; requests were answered as an older catalog would
-//! have it more than 2 s after a newer one.
-//!
-//! Sequence, from one day's lines: connections fell silent at 14.5 s. The daemon
-//! that forms groups, from which all others hear of the targets, went on waiting:
-//! `store_failed table=targets why="no answer in time on a connection that was kept
-//! for 40 ms" took_ms=8501` at 22.6 s, and 0.1 s later nine changes of targets at
-//! once on all daemons, the first of them 4.5 s old. Its `proof_age_ms` was below
-//! 1 s throughout, so that nobody else asked. A daemon that had lost its reader met
-//! its own kept connections one after the other: `store_failed table=operators …
-//! kept for 14140 ms took_ms=1001`, a pause of 2.4 s as if the store were away, then
-//! `kept for 17659 ms`; its catalog was 8.4 s old when it had one that worked.
-//!
-//! Cause: silence was taken for no news. A question waited far longer than its
-//! answer may be old, nothing told how old the knowledge of the targets was, and a
-//! connection that failed said nothing about the others of its age.
+//! Guards against requests reaching targets 2 to 6 s after these announced that they leave, where
+//! 2 s are allowed, and against a catalog that is 8.4 s old. A missing answer was taken for no
+//! changes: a request waited 8.5 s, far longer than its answer may be old, the age of the targets'
+//! data was not tracked, and a failed connection did not count against others of its age.
 
 use std::time::{Duration, Instant};
 
@@ -28,26 +15,26 @@
 use crate::support::{ask, planner, read, readers, sleep, world};
 
 /// A target of the plain service; there are two.
-const LEAVES: &str = "p-0";
+const LEAVING_TARGET: &str = "p-0";
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_target_that_leaves_is_known_though_the_question_about_targets_fell_silent() {
     let world = world(51, 4).await;
     sleep(2_500).await;
-    hush_all(&world.links, TARGETS_QUESTION);
-    world.targets.leave(LEAVES);
+    silence_all(&world.links, TARGETS_QUESTION);
+    world.targets.leave(LEAVING_TARGET);
     sleep(2_000).await;
-    assert_unused(&world, LEAVES, 0..4).await;
+    assert_unused(&world, LEAVING_TARGET, 0..4).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_target_that_leaves_is_known_though_all_connections_fell_silent() {
     let world = world(52, 4).await;
     sleep(2_500).await;
-    hush_all(&world.links, "");
-    world.targets.leave(LEAVES);
+    silence_all(&world.links, "");
+    world.targets.leave(LEAVING_TARGET);
     sleep(2_000).await;
-    assert_unused(&world, LEAVES, 0..4).await;
+    assert_unused(&world, LEAVING_TARGET, 0..4).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -78,32 +65,31 @@
     sleep(2_500).await;
     let planner = planner(&world);
     world.links[planner].set(Harm::Silent);
-    world.targets.leave(LEAVES);
+    world.targets.leave(LEAVING_TARGET);
     // Half a second less than the settings allow.
     sleep(1_500).await;
     let others = (0..4).filter(|d| *d != planner);
-    assert_unused(&world, LEAVES, others).await;
+    assert_unused(&world, LEAVING_TARGET, others).await;
 }
 
-/// Entries that vanish just after the store was away are kept for 2.3 s, since those
-/// of living targets come back. One's own silent connection is no outage: taken for
-/// one, it had all daemons go on sending to targets that were gone, and the planner
-/// had members of a leader that had left join another group while it still worked.
+/// Entries that vanish just after an outage of the store are kept for 2.3 s, since those of live
+/// targets come back. When a daemon took its own unresponsive connection for an outage, all daemons
+/// went on sending to targets that were gone, and members of a leader that had left joined another
+/// group while it still worked.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_target_that_vanishes_is_dropped_though_connections_fell_silent() {
     let world = world(56, 4).await;
     sleep(2_500).await;
-    hush_all(&world.links, "");
-    // The questions have failed by now, and new ones were answered.
+    silence_all(&world.links, "");
+    // The requests have failed by now, and new ones were answered.
     sleep(1_500).await;
-    world.targets.vanish(LEAVES);
+    world.targets.vanish(LEAVING_TARGET);
     sleep(1_200).await;
-    assert_unused(&world, LEAVES, 0..4).await;
+    assert_unused(&world, LEAVING_TARGET, 0..4).await;
 }
 
-/// The same fault towards targets: a plain request that may be repeated went out on
-/// a kept connection, and nothing but its deadline ended the wait; each kept
-/// connection cost one request.
+/// The same fault in connections to targets: a plain request that may be repeated was sent on a
+/// kept connection, and only its deadline ended the wait; each kept connection cost one request.
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_are_answered_though_kept_connections_to_targets_fell_silent() {
     let world = world(55, 1).await;
@@ -111,7 +97,7 @@
     let warm = (0..12).map(async |number| ask(world, 0, read(&format!("warm-{number}"))).await);
     let warm = join_all(warm).await;
     assert!(warm.iter().all(|got| got.status == 200));
-    hush_all(&world.targets.links, "");
+    silence_all(&world.targets.links, "");
     for number in 0..6 {
         let sent = Instant::now();
         let got = ask(world, 0, read(&format!("after-{number}"))).await;
@@ -125,9 +111,9 @@
     }
 }
 
-/// A daemon that was cut off from the store paused for 2.4 s after each failure, also
-/// when the cut had healed and its peers told of a newer catalog: it refused a route
-/// 3.1 s after the end of the cut as the catalog from before would have it.
+/// A daemon that was cut off from the store waited for 2.4 s after each failure, even when the
+/// connection was back and its peers announced a newer catalog: it still refused a route as the old
+/// catalog required, 3.1 s after the end of the partition.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_daemon_whose_store_is_back_takes_a_catalog_that_peers_have() {
     let world = world(57, 4).await;
@@ -139,7 +125,7 @@
         world.links[*daemon].set(Harm::Silent);
     }
     world.set_catalog(9, &["k1"]);
-    // Two questions fail, and a pause begins.
+    // Two requests fail, and a delay begins.
     sleep(2_600).await;
     for daemon in &others {
         world.links[*daemon].set(Harm::None);
@@ -152,13 +138,13 @@
 }
 
 /// Silences the open connections of all links whose last request holds `text`.
-fn hush_all(links: &[Link], text: &str) {
+fn silence_all(links: &[Link], text: &str) {
     for link in links {
         link.hush(text);
     }
 }
 
-/// Has daemons answer requests, none of which may run at `target`.
+/// Sends requests to daemons and asserts that none of them runs at `target`.
 async fn assert_unused(world: &World, target: &str, daemons: impl Iterator<Item = usize>) {
     for daemon in daemons {
         for number in 0..8 {
--- a/crates/thistlesill-edge/tests/it/starts.rs
+++ b/crates/thistlesill-edge/tests/it/starts.rs
@@ -1,4 +1,4 @@
-//! A daemon comes to know the targets however early it starts.
+//! A daemon obtains the targets however early it starts.
 
 use std::time::Duration;
 
@@ -8,17 +8,17 @@
 
 use crate::support::{ask, early_world, read, sleep, stream, world};
 
-/// Daemons in two data centres.
+/// Number of daemons, in two data centres.
 const DAEMONS: usize = 12;
-/// Targets that are listed beside those that serve.
-const LISTED: usize = 1_200;
-/// The pages of the store in which they are read.
+/// Number of targets that are listed in addition to those that serve.
+const EXTRA_TARGETS: usize = 1_200;
+/// Number of pages of the store in which they are read.
 const PAGES: usize = 3;
 
 #[tokio::test(flavor = "multi_thread")]
 async fn daemons_that_read_an_empty_store_follow_the_targets_that_come() {
-    // Five daemons in two data centres: some read the store for others, and the
-    // others hear of the targets from them alone.
+    // Five daemons in two data centres: some read the store for others, which receive the targets
+    // from them alone.
     let world = early_world(26, 5).await;
     for daemon in 0..5 {
         let plain = ask(&world, daemon, read(&format!("plain-{daemon}"))).await;
@@ -28,9 +28,9 @@
     }
 }
 
-/// Lists many targets of a service that nobody asks for.
+/// Lists many targets of a service that no caller requests.
 fn list_many(world: &World) {
-    for number in 0..LISTED {
+    for number in 0..EXTRA_TARGETS {
         let entry = json!({"service": "archive", "address": "127.0.0.1:9", "zone": "h",
             "slots": 6, "state": "ready", "born": 1});
         world
@@ -39,7 +39,7 @@
     }
 }
 
-async fn start_all_anew(world: &mut World) {
+async fn restart_all(world: &mut World) {
     for daemon in &mut world.daemons {
         daemon.kill().await;
     }
@@ -57,17 +57,17 @@
         world.store.asked(TARGETS_READ),
         world.store.asked(CATALOG_READ),
     );
-    start_all_anew(&mut world).await;
+    restart_all(&mut world).await;
     world
         .wait_until("all serve", Duration::from_secs(5), |got| got)
         .await;
     sleep(1_500).await;
-    // Two of each data centre, and whoever finds one of them slow.
+    // Two daemons of each data centre read, and any daemon that finds one of these slow.
     let reads = world.store.asked(TARGETS_READ) - targets;
     assert!(reads <= 5 * PAGES, "{reads} pages of targets");
     let reads = world.store.asked(CATALOG_READ) - catalogs;
     assert!(reads <= 8, "{reads} reads of the catalog");
-    // All know the whole list, whoever they have it from.
+    // All daemons know the whole list, wherever it came from.
     for daemon in 0..DAEMONS {
         let source = world.lines(daemon, "ev=start_source");
         assert_eq!(source.len(), 2, "{source:?}");
@@ -81,10 +81,10 @@
     sleep(2_500).await;
     world.store.set_mode(Mode::Busy);
     let before = world.store.asked("");
-    start_all_anew(&mut world).await;
+    restart_all(&mut world).await;
     sleep(4_000).await;
     let calls = world.store.asked("") - before;
-    // Ten a second are for the two that read for others in each data centre.
+    // Ten calls a second are for the two daemons that read for others in each data centre.
     assert!(calls <= 240, "{calls} calls in 4 s");
     world.store.set_mode(Mode::Up);
     world
--- a/crates/thistlesill-edge/tests/it/writers.rs
+++ b/crates/thistlesill-edge/tests/it/writers.rs
@@ -1,4 +1,4 @@
-//! Targets that start again under their id, and entries of other writers.
+//! Targets that restart under their id, and entries of other writers.
 
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -12,7 +12,7 @@
 
 const DAEMONS: usize = 4;
 
-/// Asks each daemon for both kinds of answers; all must come.
+/// Asks each daemon for both kinds of answers, all of which must succeed.
 async fn assert_all_serve(world: &World, when: &str) {
     for daemon in 0..DAEMONS {
         let plain = ask(world, daemon, read(&format!("{when}-plain-{daemon}"))).await;
@@ -22,8 +22,8 @@
     }
 }
 
-/// Puts rows of all sorts that are no sound entries among the targets'.
-fn write_garbage(world: &World) {
+/// Writes invalid rows of all sorts among the targets' entries.
+fn write_invalid_rows(world: &World) {
     let store = &world.store;
     store.put_bytes("servers", "x-bytes", b"\xff\xfe\x00");
     store.put_bytes("servers", "x-empty", b"");
@@ -50,11 +50,11 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn entries_of_other_writers_hide_no_target() {
     let mut world = world(71, DAEMONS as u8).await;
-    write_garbage(&world);
+    write_invalid_rows(&world);
     sleep(1_000).await;
     assert_all_serve(&world, "changed").await;
-    // One that starts alone reads all entries at once; a peer whose beat comes before the
-    // store's answer would tell it all but those that are refused.
+    // A daemon that starts alone reads all entries at once; a peer whose heartbeat arrived before
+    // the store's answer would send it all but those that are refused.
     for daemon in &mut world.daemons {
         daemon.kill().await;
     }
@@ -76,7 +76,8 @@
     world.targets.leave_entry("p-0");
     world.store.put_bytes("servers", "p-0", b"{\"service\":");
     sleep(1_000).await;
-    // One has read the changes, the others heard of them; one reads all anew.
+    // One daemon has read the changes and sent them to the others; the restarted one reads all
+    // entries again.
     world.daemons[3].kill().await;
     world.daemons[3].start();
     sleep(1_500).await;
@@ -103,7 +104,7 @@
         world.store.put_bytes("halls", "fleet/term", b"nothing");
         sleep(400).await;
     }
-    // The lease runs 2 s; a member is lost, and only a planner replaces it.
+    // The lease lasts 2 s; a member is lost, and only a planner replaces it.
     sleep(4_000).await;
     let (_, members) = world
         .targets
@@ -141,7 +142,7 @@
     assert!(noticed, "all daemons know of the starts");
 }
 
-/// Datagrams and connections of whoever speaks otherwise.
+/// Sends datagrams and frames that are not valid messages.
 #[tokio::test(flavor = "multi_thread")]
 async fn words_of_peers_that_cannot_be_read_change_nothing() {
     let mut world = world(78, DAEMONS as u8).await;
@@ -149,7 +150,7 @@
     let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a socket");
     let peers = world.daemons[0].peers();
     for round in 0..4_000_u32 {
-        // The first byte names a kind of message; all kinds come.
+        // The first byte selects the kind of message, one of the first twelve.
         let length = rng.random_range(0..300);
         let mut bytes: Vec<u8> = (0..length).map(|_| rng.random()).collect();
         if let Some(first) = bytes.first_mut() {
@@ -160,7 +161,7 @@
             sleep(1).await;
         }
     }
-    // A frame that claims to be as long as can be, one that is cut off, and silence.
+    // A frame that claims the greatest possible length, one that is cut off, and an empty one.
     let mut kept = Vec::new();
     for bytes in [&[0xff_u8; 8][..], &[0, 0, 0, 9, 1][..], &[][..]] {
         let mut stream = TcpStream::connect(peers).await.expect("it listens");
