--- a/crates/thistlesill-edge/src/attempt.rs
+++ b/crates/thistlesill-edge/src/attempt.rs
@@ -166,7 +166,7 @@
     let edge = &job.edge;
     relay::wait_for_stall(job, target, true).await;
     edge.suspect(&target.id, "no answer begins");
-    while !job.can_retry_elsewhere(tried) && !edge.peers.borrow().is_dead(&target.id) {
+    while !job.can_retry_elsewhere(tried) && !edge.peers.borrow().is_unresponsive(&target.id) {
         tokio::time::sleep(RETRY_CHECK_INTERVAL).await;
     }
 }
--- a/crates/thistlesill-edge/src/daemon.rs
+++ b/crates/thistlesill-edge/src/daemon.rs
@@ -310,7 +310,7 @@
         .maybe("targets_age_ms", edge.targets_age().map(Millis::get))
         .with("reads", edge.is_reader.get())
         .with("plans", edge.is_planner.get())
-        .with("peers", edge.peers.borrow().heard(now))
+        .with("peers", edge.peers.borrow().live_count(now))
         .with("targets", edge.registry.borrow().count())
         .write();
 }
--- a/crates/thistlesill-edge/src/job.rs
+++ b/crates/thistlesill-edge/src/job.rs
@@ -85,7 +85,7 @@
         lane: HttpConnection,
         keep: Option<Millis>,
     ) {
-        let daemons = self.edge.peers.borrow().most();
+        let daemons = self.edge.peers.borrow().daemon_count();
         let max = max_idle(self.admission.service.connections, daemons);
         let now = self.edge.now();
         self.edge.lanes.keep(target, lane, keep, max, now);
--- a/crates/thistlesill-edge/src/limits.rs
+++ b/crates/thistlesill-edge/src/limits.rs
@@ -19,9 +19,9 @@
 use tokio::sync::Notify;
 
 use crate::job::Job;
-use crate::peers::packet::{GrantAsk, GrantReply, Packet, Permit, ToldLimits};
+use crate::peers::packet::{GrantReply, GrantRequest, LimitUpdates, Packet, Permit};
 use crate::peers::place;
-use crate::peers::questions::{self, Questions};
+use crate::peers::questions::{self, PendingReplies};
 use crate::peers::{Reach, link};
 use crate::state::Edge;
 
@@ -47,7 +47,7 @@
     unsent: RefCell<BTreeSet<TargetId>>,
     /// Notified when `unsent` gains a target.
     changed: Notify,
-    questions: RefCell<Questions<GrantReply>>,
+    questions: RefCell<PendingReplies<GrantReply>>,
 }
 
 impl Limits {
@@ -218,7 +218,7 @@
     picked: Millis,
 ) -> Option<Clearance> {
     match permit {
-        Permit::Given => return Some(Clearance::granted(picked)),
+        Permit::Granted => return Some(Clearance::granted(picked)),
         Permit::NotNeeded if !edge.limits.is_limited(&target.id, edge.now()) => {
             return Some(Clearance::Unlimited);
         }
@@ -263,13 +263,13 @@
     }
     let (id, answer) = edge.limits.questions.borrow_mut().begin();
     let known = edge.limits.table.borrow().update(&target.id, edge.now());
-    let ask = GrantAsk {
+    let ask = GrantRequest {
         from: me,
         id,
         target: target.id.clone(),
         known,
     };
-    link::tell(edge, &owner, &Packet::AskGrant(ask));
+    link::send_to(edge, &owner, &Packet::GrantRequest(ask));
     let Some(reply) = questions::in_time(answer).await else {
         return Grant::NotOwner;
     };
@@ -285,7 +285,7 @@
 }
 
 /// As the bucket owner, answers a daemon that requests a grant.
-pub(crate) fn reply_to_grant_request(edge: &Edge, ask: &GrantAsk) {
+pub(crate) fn reply_to_grant_request(edge: &Edge, ask: &GrantRequest) {
     let now = edge.now();
     if let Some(update) = &ask.known {
         observe(edge, &ask.target, update.report(now), ask.from.as_str());
@@ -301,17 +301,17 @@
         grant,
         known: edge.limits.table.borrow().update(&ask.target, now),
     };
-    link::tell(edge, &ask.from, &Packet::Grant(reply));
+    link::send_to(edge, &ask.from, &Packet::Grant(reply));
 }
 
 /// Applies the answer of a bucket's owner.
 pub(crate) fn receive_grant(edge: &Edge, reply: GrantReply) {
     let mut questions = edge.limits.questions.borrow_mut();
-    questions.answered(reply.id, reply);
+    questions.resolve(reply.id, reply);
 }
 
 /// Applies the limits that a peer sent, and replies with those that are newer here.
-pub(crate) fn receive(edge: &Edge, message: &ToldLimits) {
+pub(crate) fn receive(edge: &Edge, message: &LimitUpdates) {
     let now = edge.now();
     let mut newer = Vec::new();
     for limit in &message.list {
@@ -327,7 +327,7 @@
     }
     if !newer.is_empty() {
         let packet = packet(edge, newer);
-        link::tell(edge, &message.from, &packet);
+        link::send_to(edge, &message.from, &packet);
     }
 }
 
@@ -335,7 +335,7 @@
 pub(crate) fn send_to_new_peer(edge: &Edge, peer: &NodeId) {
     let owned = edge.limits.table.borrow().owned_updates(edge.now());
     for batch in owned.chunks(MAX_PER_DATAGRAM) {
-        link::tell(edge, peer, &packet(edge, batch.to_vec()));
+        link::send_to(edge, peer, &packet(edge, batch.to_vec()));
     }
 }
 
@@ -362,14 +362,14 @@
             list.extend(edge.limits.table.borrow().owned_updates(now));
         }
         for batch in list.chunks(MAX_PER_DATAGRAM) {
-            link::tell_peers(&edge, &packet(&edge, batch.to_vec()), Reach::All);
+            link::broadcast(&edge, &packet(&edge, batch.to_vec()), Reach::All);
         }
     }
 }
 
 fn packet(edge: &Edge, list: Vec<LimitUpdate>) -> Packet {
     let from = edge.settings().name.clone();
-    Packet::Limits(ToldLimits { from, list })
+    Packet::Limits(LimitUpdates { from, list })
 }
 
 /// Starts or stops owning a target's bucket, according to the current owner of its scope.
@@ -379,7 +379,7 @@
     let mut table = edge.limits.table.borrow_mut();
     if is_owner {
         let peers = edge.peers.borrow();
-        let reachable_ratio = (peers.heard(now) + 1) as f64 / peers.most() as f64;
+        let reachable_ratio = (peers.live_count(now) + 1) as f64 / peers.daemon_count() as f64;
         table.own(&target.id, reachable_ratio, now);
     } else {
         table.disown(&target.id);
@@ -388,7 +388,7 @@
 
 /// Updates which buckets this daemon owns, and drops targets that are gone.
 pub(crate) fn sweep(edge: &Edge) {
-    edge.limits.questions.borrow_mut().tidy();
+    edge.limits.questions.borrow_mut().remove_closed();
     let registry = edge.registry.borrow();
     let mut unreadable = edge.limits.unreadable.borrow_mut();
     unreadable.retain(|id| registry.is_current(id));
--- a/crates/thistlesill-edge/src/planner.rs
+++ b/crates/thistlesill-edge/src/planner.rs
@@ -20,7 +20,7 @@
 use thistlesill_policy::lease::{Lease, LeaseChange, LeasePeriods, LeaseStep};
 
 use crate::figures;
-use crate::follow::{self, FIND};
+use crate::follow::{self, DISCOVERY_PERIOD};
 use crate::peers::{Reach, link};
 use crate::state::Edge;
 
@@ -109,17 +109,17 @@
             let line = self.edge.lines.line("lease_given_up");
             line.with("written", written).write();
         }
-        self.edge.peers.borrow_mut().shown = None;
+        self.edge.peers.borrow_mut().lease = None;
         // The process waits for this before it exits.
         self.edge.is_planner.set(false);
         // The next heartbeat may be due after the process has exited.
-        link::tell_beat(&self.edge, Reach::All);
+        link::send_heartbeat(&self.edge, Reach::All);
     }
 
     /// Claims or renews the lease, as far as that is due.
     async fn step_lease(&self) {
         let now = self.edge.now();
-        if let Some(snapshot) = self.edge.peers.borrow_mut().heard_lease.take() {
+        if let Some(snapshot) = self.edge.peers.borrow_mut().received_lease.take() {
             self.lease.borrow_mut().observe(snapshot, now);
         }
         let watching = matches!(self.lease.borrow().state(), LeaseState::Watching);
@@ -150,7 +150,7 @@
         self.log_change(change);
         let holds = self.lease.borrow().term(self.edge.now()).is_some();
         self.edge.is_planner.set(holds);
-        self.edge.peers.borrow_mut().shown = self.lease.borrow().snapshot().filter(|_| holds);
+        self.edge.peers.borrow_mut().lease = self.lease.borrow().snapshot().filter(|_| holds);
     }
 
     /// Returns whether this daemon may read and claim the lease now.
@@ -161,15 +161,15 @@
     /// others only if none of those succeeds.
     fn may_claim_lease(&self, now: Millis) -> bool {
         let peers = self.edge.peers.borrow();
-        if peers.hears_planner(now) {
+        if peers.is_planner_alive(now) {
             return false;
         }
-        let discovered = now - self.edge.started >= FIND;
+        let discovered = now - self.edge.started >= DISCOVERY_PERIOD;
         if !discovered {
             let unknown = self.lease.borrow().holder().is_none();
             return unknown && peers.is_first_listed(&self.edge.settings().name);
         }
-        let silence = now - peers.planner_heard().unwrap_or(self.edge.started);
+        let silence = now - peers.planner_seen_at().unwrap_or(self.edge.started);
         // While the store is unreachable, hundreds of reads of the lease would fail.
         let orphaned = silence >= ORPHANED_TIMEOUT && !self.edge.is_store_unreachable();
         orphaned || follow::reads_for_others(&self.edge)
@@ -216,7 +216,7 @@
                 "the target or a member of its group answered no probe",
             );
         }
-        self.edge.peers.borrow_mut().late = late;
+        self.edge.peers.borrow_mut().late_joins = late;
         self.announce_dead(dead);
     }
 
@@ -232,7 +232,7 @@
     /// Watches the fleets without the lease; returns the groups that may be joined late, if all of
     /// them are known.
     fn watch(&self, catalog: &Catalog, now: Millis) -> Option<Vec<GroupRef>> {
-        let announced = self.edge.peers.borrow_mut().told_late.take();
+        let announced = self.edge.peers.borrow_mut().received_late_joins.take();
         let registry = self.edge.registry.borrow();
         let mut fleets = self.fleets.borrow_mut();
         let mut late = Some(Vec::new());
@@ -264,7 +264,7 @@
         let slow = self.slow(now);
         let working = self.working(now);
         let requests = edge.loads.borrow().requests(now);
-        let announced = edge.peers.borrow_mut().told_late.take();
+        let announced = edge.peers.borrow_mut().received_late_joins.take();
         let evacuations = edge.evacuations.borrow();
         let registry = edge.registry.borrow();
         let (mut dead, mut late) = (Vec::new(), Some(Vec::new()));
@@ -310,13 +310,13 @@
     /// Announces targets that answered no probe to all daemons; at once if one is new, since
     /// requests still go to its group.
     fn announce_dead(&self, dead: Vec<TargetId>) {
-        let before = std::mem::replace(&mut self.edge.peers.borrow_mut().dead, dead);
+        let before = std::mem::replace(&mut self.edge.peers.borrow_mut().unresponsive, dead);
         let any_new = {
             let peers = self.edge.peers.borrow();
-            peers.dead.iter().any(|id| !before.contains(id))
+            peers.unresponsive.iter().any(|id| !before.contains(id))
         };
         if any_new {
-            link::tell_beat(&self.edge, Reach::All);
+            link::send_heartbeat(&self.edge, Reach::All);
         }
     }
 
--- a/crates/thistlesill-edge/src/quarantine.rs
+++ b/crates/thistlesill-edge/src/quarantine.rs
@@ -125,7 +125,7 @@
             line.with("print", print).write();
             if let Some(verdict) = verdict {
                 // Sent without batching: another daemon may be about to try the request, too.
-                link::tell_peers(edge, &Packet::Verdicts(vec![verdict]), Reach::All);
+                link::broadcast(edge, &Packet::Verdicts(vec![verdict]), Reach::All);
             }
             None
         }
@@ -215,10 +215,10 @@
         tokio::time::sleep(BATCH_DELAY).await;
         let unsent = std::mem::take(&mut *edge.quarantine.unsent.borrow_mut());
         for batch in unsent.lost.chunks(MAX_PER_DATAGRAM) {
-            link::tell_peers(&edge, &Packet::Lost(batch.to_vec()), Reach::All);
+            link::broadcast(&edge, &Packet::Lost(batch.to_vec()), Reach::All);
         }
         for batch in unsent.verdicts.chunks(MAX_PER_DATAGRAM) {
-            link::tell_peers(&edge, &Packet::Verdicts(batch.to_vec()), Reach::All);
+            link::broadcast(&edge, &Packet::Verdicts(batch.to_vec()), Reach::All);
         }
     }
 }
@@ -258,14 +258,14 @@
     }
     edge.quarantine.last_requested.set(now);
     let me = edge.settings().name.clone();
-    link::tell(edge, peer, &Packet::AskVerdicts(me));
+    link::send_to(edge, peer, &Packet::VerdictsRequest(me));
 }
 
 /// Sends a peer the verdicts on withheld requests, and on requests cleared a short time ago.
 pub(crate) fn send_verdicts(edge: &Edge, peer: &NodeId) {
     let mut all = edge.quarantine.known.borrow().verdicts(edge.now());
     all.truncate(MAX_PER_REPLY);
-    link::tell(edge, peer, &Packet::Verdicts(all));
+    link::send_to(edge, peer, &Packet::Verdicts(all));
 }
 
 /// Writes verdicts to the store; never returns.
@@ -274,7 +274,7 @@
 /// the store for others that start.
 pub(crate) async fn persist(edge: Rc<Edge>) {
     start::await_turn(&edge).await;
-    if edge.start.get() == Start::Reads && !edge.settings().first_start {
+    if edge.start.get() == Start::ReadsStore && !edge.settings().first_start {
         read_rows(&edge).await;
     }
     loop {
--- a/crates/thistlesill-edge/src/state.rs
+++ b/crates/thistlesill-edge/src/state.rs
@@ -27,9 +27,9 @@
 use crate::limits::Limits;
 use crate::lines::Lines;
 use crate::peers::packet::StoreUse;
-use crate::peers::place::Placing;
+use crate::peers::place::PlacementState;
 use crate::peers::traffic::Traffic;
-use crate::peers::transfer::Packed;
+use crate::peers::transfer::PackedCache;
 use crate::peers::{Peers, link};
 use crate::quarantine::QuarantineState;
 use crate::start::Start;
@@ -160,11 +160,11 @@
     /// Whether the daemon still waits for peers after its start.
     pub(crate) start: Cell<Start>,
     /// The snapshot for daemons that start, by the versions of the targets and of the catalog.
-    pub(crate) packed: Packed<(u64, Option<u64>)>,
+    pub(crate) packed: PackedCache<(u64, Option<u64>)>,
     /// The packed catalog, by its version.
-    pub(crate) packed_catalog: Packed<u64>,
+    pub(crate) packed_catalog: PackedCache<u64>,
     /// The packed list of known daemons, by its revision.
-    pub(crate) packed_members: Packed<u64>,
+    pub(crate) packed_members: PackedCache<u64>,
     /// Address of a peer that has changes of targets which are no longer sent one by one.
     pub(crate) targets_source: Cell<Option<SocketAddr>>,
     /// Address of a peer that announced a newer catalog.
@@ -182,7 +182,7 @@
     /// Demand of the callers of this daemon.
     pub(crate) demand_meter: RefCell<DemandMeter>,
     pub(crate) peers: RefCell<Peers>,
-    pub(crate) placing: RefCell<Placing>,
+    pub(crate) placing: RefCell<PlacementState>,
     /// Counts of the messages to peers.
     pub(crate) traffic: Traffic,
     /// Requests that crash targets.
@@ -241,7 +241,7 @@
         Self {
             store: Store::new(settings.store, STORE_IDLE_TIMEOUT),
             peers: RefCell::new(Peers::default()),
-            placing: RefCell::new(Placing::default()),
+            placing: RefCell::new(PlacementState::default()),
             traffic: Traffic::default(),
             quarantine: QuarantineState::default(),
             limits: Limits::default(),
@@ -251,10 +251,10 @@
             boot: rand::random(),
             catalog: RefCell::new(None),
             catalog_text: RefCell::new(Bytes::new()),
-            start: Cell::new(Start::Waits),
-            packed: Packed::default(),
-            packed_catalog: Packed::default(),
-            packed_members: Packed::default(),
+            start: Cell::new(Start::Waiting),
+            packed: PackedCache::default(),
+            packed_catalog: PackedCache::default(),
+            packed_members: PackedCache::default(),
             targets_source: Cell::new(None),
             catalog_source: Cell::new(None),
             catalog_freshness: Cell::new(Freshness::default()),
@@ -347,7 +347,7 @@
     /// Returns how this daemon uses the store.
     pub(crate) fn store_use(&self) -> StoreUse {
         match (self.is_store_unreachable(), self.is_reader.get()) {
-            (true, _) => StoreUse::Away,
+            (true, _) => StoreUse::Unreachable,
             (false, true) => StoreUse::Reads,
             (false, false) => StoreUse::Asks,
         }
@@ -355,7 +355,9 @@
 
     /// Returns how long data from a peer stays valid.
     pub(crate) fn peer_data_lifetime(&self) -> Millis {
-        self.peers.borrow().trust(&self.settings.borrow().hall)
+        self.peers
+            .borrow()
+            .peer_timeout(&self.settings.borrow().hall)
     }
 
     /// Returns whether requests with API keys may be admitted now.
@@ -467,7 +469,7 @@
     }
 
     fn with_budget<T>(&self, service: &ServiceName, step: impl FnOnce(&mut RetryBudget) -> T) -> T {
-        let daemons = self.peers.borrow().most().max(MIN_DAEMONS);
+        let daemons = self.peers.borrow().daemon_count().max(MIN_DAEMONS);
         let capacity = self.settings.borrow().bounds.retry_slack * SLACK_SHARE / daemons as f64;
         let mut retries = self.retries.borrow_mut();
         let budget = retries
@@ -488,7 +490,7 @@
                 .with("why", reason)
                 .write();
             self.fleet_changed.notify_one();
-            link::tell_suspects(self);
+            link::report_suspects(self);
         }
     }
 }
