--- a/crates/thistlesill-standins/src/bench.rs
+++ b/crates/thistlesill-standins/src/bench.rs
@@ -1,5 +1,5 @@
-//! Measures the daemons as processes on loopback: what control costs by the
-//! number of targets, and what the router adds to a call of an engine.
+//! Benchmarks the daemons as separate processes on loopback: the cost of the control plane by
+//! number of targets, and the overhead that the router adds to a call of an engine.
 
 use std::time::{Duration, Instant};
 
@@ -10,21 +10,21 @@
 use thistlesill_net::engine::{Engines, StreamAsk, StreamCall, StreamEvent};
 use thistlesill_policy::serving::{Server, ServerList};
 use thistlesill_replay::slopes::{Point, Slope, line};
-use thistlesill_standins::harness::{Deployment, Kind, Options};
+use thistlesill_standins::harness::{AnswerMode, Deployment, Options};
 
-/// How long control is measured at each size.
-const CONTROL_TIME: Duration = Duration::from_secs(8);
-/// Requests of each measurement of the data path.
+/// How long the control plane is measured at each fleet size.
+const CONTROL_DURATION: Duration = Duration::from_secs(8);
+/// Requests in each measurement of the data path.
 const REQUESTS: usize = 800;
-/// Requests under way at a time.
+/// Concurrent requests in a measurement of the data path.
 const CALLERS: usize = 8;
-/// Tokens of a stream that is held open.
-const HELD_TOKENS: u32 = 4_000;
-/// Time for groups to form.
-const FORMED: Duration = Duration::from_secs(60);
-/// Members of a group.
-const MEMBERS: u32 = 4;
-/// The model of the bench.
+/// Tokens of each stream that stays open while memory is measured.
+const OPEN_STREAM_TOKENS: u32 = 4_000;
+/// Time within which all groups must have formed.
+const FORMATION_TIMEOUT: Duration = Duration::from_secs(60);
+/// Instances in a group of the benchmarked model.
+const GROUP_MEMBERS: u32 = 4;
+/// Model that the deployment `association` serves.
 const MODEL: &str = "minutes-70b";
 
 fn main() {
@@ -33,13 +33,13 @@
         .build()
         .expect("the runtime starts");
     runtime.block_on(async {
-        control().await;
-        data().await;
+        measure_control().await;
+        measure_data_path().await;
     });
 }
 
 fn options(instances: u32) -> Options {
-    let mut options = Options::deployed("association");
+    let mut options = Options::from_deploy_dir("association");
     options.fleet = FleetFile {
         halls: vec![HallSpec {
             hall: "concord".into(),
@@ -67,48 +67,48 @@
     options
 }
 
-/// What one daemon used during a measurement.
-struct Use {
-    percent: f64,
+/// Resources that one daemon used during a measurement; traffic in bytes per second.
+struct DaemonUsage {
+    cpu_percent: f64,
     resident_mb: f64,
-    sent: f64,
-    received: f64,
+    sent_rate: f64,
+    received_rate: f64,
 }
 
-async fn control() {
+async fn measure_control() {
     let sizes = [16_u32, 48, 96];
     let mut planner = Vec::new();
     let mut router = Vec::new();
     for size in sizes {
         let deployment = Deployment::start(options(size)).await;
         deployment.put_settings();
-        let groups = (size / MEMBERS) as usize;
+        let groups = (size / GROUP_MEMBERS) as usize;
         assert!(
-            deployment.wait_servers(groups, FORMED).await,
+            deployment.wait_servers(groups, FORMATION_TIMEOUT).await,
             "groups formed"
         );
-        planner.push(measure(&deployment, Role::Planner).await);
-        router.push(measure(&deployment, Role::Router).await);
+        planner.push(measure_daemon(&deployment, Role::Planner).await);
+        router.push(measure_daemon(&deployment, Role::Router).await);
     }
     println!("control of one daemon, three planners that watch all targets, three routers");
     for (name, list) in [("planner", &planner), ("router", &router)] {
-        show(name, "% of a core", &sizes, list, |u| u.percent);
-        show(name, "MB", &sizes, list, |u| u.resident_mb);
-        show(name, "bytes/s sent", &sizes, list, |u| u.sent);
-        show(name, "bytes/s received", &sizes, list, |u| u.received);
+        print_slope(name, "% of a core", &sizes, list, |u| u.cpu_percent);
+        print_slope(name, "MB", &sizes, list, |u| u.resident_mb);
+        print_slope(name, "bytes/s sent", &sizes, list, |u| u.sent_rate);
+        print_slope(name, "bytes/s received", &sizes, list, |u| u.received_rate);
     }
 }
 
-fn show(
+fn print_slope(
     name: &'static str,
     unit: &'static str,
     sizes: &[u32],
-    list: &[Use],
-    cost: impl Fn(&Use) -> f64,
+    usages: &[DaemonUsage],
+    cost: impl Fn(&DaemonUsage) -> f64,
 ) {
-    let points = sizes.iter().zip(list).map(|(size, used)| Point {
+    let points = sizes.iter().zip(usages).map(|(size, usage)| Point {
         size: f64::from(*size),
-        cost: cost(used),
+        cost: cost(usage),
     });
     let slope = Slope {
         name,
@@ -119,23 +119,23 @@
     print!("{}", line(&slope));
 }
 
-async fn measure(deployment: &Deployment, role: Role) -> Use {
-    let counted = async |d: &Deployment, name: &str| counter(&d.metrics(role, 0).await, name);
-    let sent = counted(deployment, "thistlesill_peer_sent_bytes_total").await;
-    let received = counted(deployment, "thistlesill_peer_received_bytes_total").await;
-    let before = deployment.processor_time(role, 0);
+async fn measure_daemon(deployment: &Deployment, role: Role) -> DaemonUsage {
+    let read_counter = async |d: &Deployment, name: &str| counter(&d.metrics(role, 0).await, name);
+    let sent = read_counter(deployment, "thistlesill_peer_sent_bytes_total").await;
+    let received = read_counter(deployment, "thistlesill_peer_received_bytes_total").await;
+    let before = deployment.cpu_time(role, 0);
     let begun = Instant::now();
-    tokio::time::sleep(CONTROL_TIME).await;
+    tokio::time::sleep(CONTROL_DURATION).await;
     let seconds = begun.elapsed().as_secs_f64();
-    let used = deployment.processor_time(role, 0).saturating_sub(before);
-    let sent_after = counted(deployment, "thistlesill_peer_sent_bytes_total").await;
-    let received_after = counted(deployment, "thistlesill_peer_received_bytes_total").await;
+    let used = deployment.cpu_time(role, 0).saturating_sub(before);
+    let sent_after = read_counter(deployment, "thistlesill_peer_sent_bytes_total").await;
+    let received_after = read_counter(deployment, "thistlesill_peer_received_bytes_total").await;
     let resident = deployment.resident_kb(role, 0);
-    Use {
-        percent: used.as_secs_f64() * 100.0 / seconds,
+    DaemonUsage {
+        cpu_percent: used.as_secs_f64() * 100.0 / seconds,
         resident_mb: resident as f64 / 1_024.0,
-        sent: (sent_after - sent) / seconds,
-        received: (received_after - received) / seconds,
+        sent_rate: (sent_after - sent) / seconds,
+        received_rate: (received_after - received) / seconds,
     }
 }
 
@@ -145,33 +145,35 @@
     value.and_then(|v| v.parse().ok()).unwrap_or(0.0)
 }
 
-async fn data() {
+async fn measure_data_path() {
     let deployment = Deployment::start(options(16)).await;
     deployment.put_settings();
-    assert!(deployment.wait_servers(4, FORMED).await, "groups formed");
-    let roster: ServerList = deployment
+    assert!(
+        deployment.wait_servers(4, FORMATION_TIMEOUT).await,
+        "groups formed"
+    );
+    let server_list: ServerList = deployment
         .admin_get(Role::Router, 0, "/admin/groups")
         .await
         .expect("the router's groups");
     let mut cost = Vec::new();
     println!("\n{REQUESTS} streamed requests, {CALLERS} at a time");
     for tokens in [1_u32, 8, 32] {
-        let direct = direct(&roster.servers, tokens).await;
-        let before = deployment.processor_time(Role::Router, 0);
-        let routed = routed(&deployment, tokens).await;
-        let used = deployment
-            .processor_time(Role::Router, 0)
-            .saturating_sub(before);
+        let direct = measure_direct(&server_list.servers, tokens).await;
+        let before = deployment.cpu_time(Role::Router, 0);
+        let routed = measure_routed(&deployment, tokens).await;
+        let used = deployment.cpu_time(Role::Router, 0).saturating_sub(before);
         let each = used.as_secs_f64() * 1e6 / REQUESTS as f64;
         println!(
             "{tokens:>3} tokens: first token direct p50 {:>5} p95 {:>5} us, routed p50 {:>5} p95 {:>5} us, \
-             added {:.0} us; rate routed/direct {:.2}; router {each:.0} us of processor per request, \
+             added {:.0} us; rate routed/direct {:.2}; router {each:.0} us of CPU time per request, \
              {:.0} requests/s per core",
-            direct.first.value_at_quantile(0.5),
-            direct.first.value_at_quantile(0.95),
-            routed.first.value_at_quantile(0.5),
-            routed.first.value_at_quantile(0.95),
-            routed.first.value_at_quantile(0.5) as f64 - direct.first.value_at_quantile(0.5) as f64,
+            direct.first_token.value_at_quantile(0.5),
+            direct.first_token.value_at_quantile(0.95),
+            routed.first_token.value_at_quantile(0.5),
+            routed.first_token.value_at_quantile(0.95),
+            routed.first_token.value_at_quantile(0.5) as f64
+                - direct.first_token.value_at_quantile(0.5) as f64,
             routed.rate / direct.rate,
             1e6 / each,
         );
@@ -187,11 +189,11 @@
         points: cost,
     };
     print!("{}", line(&slope));
-    memory(&deployment).await;
+    measure_memory(&deployment).await;
 }
 
-/// Memory by the number of streams under way.
-async fn memory(deployment: &Deployment) {
+/// Measures the router's memory by the number of open streams.
+async fn measure_memory(deployment: &Deployment) {
     let mut points = Vec::new();
     for streams in [10_usize, 80, 160] {
         let callers = (0..streams).map(|n| {
@@ -200,20 +202,20 @@
                 let prompt = format!("held {n}");
                 drop(
                     caller
-                        .chat(Kind::Streamed, MODEL, &prompt, HELD_TOKENS)
+                        .chat(AnswerMode::Streamed, MODEL, &prompt, OPEN_STREAM_TOKENS)
                         .await,
                 );
             })
         });
         let callers: Vec<_> = callers.collect();
         let limit = Duration::from_secs(10);
-        let under_way = async |wanted: usize| {
+        let has_streams = async |wanted: usize| {
             let status = deployment.router_status(0).await;
             status.is_ok_and(|s| s.under_way == wanted && s.waiting == 0)
         };
-        let all = deployment.until(limit, async || under_way(streams).await);
-        assert!(all.await, "all streams are under way");
-        let ended = deployment.until(limit, async || under_way(0).await);
+        let all = deployment.wait_until(limit, async || has_streams(streams).await);
+        assert!(all.await, "all streams are open");
+        let ended = deployment.wait_until(limit, async || has_streams(0).await);
         let resident = deployment.resident_kb(Role::Router, 0);
         points.push(Point {
             size: streams as f64,
@@ -222,7 +224,7 @@
         for caller in callers {
             caller.abort();
         }
-        assert!(ended.await, "the streams end when their callers are gone");
+        assert!(ended.await, "the streams end when their callers disconnect");
     }
     let slope = Slope {
         name: "router: memory",
@@ -233,56 +235,62 @@
     print!("{}", line(&slope));
 }
 
-/// A run of the data path.
-struct Run {
-    first: Histogram<u64>,
+/// Time to the first token, in microseconds, and requests per second of one measurement.
+struct DataPathResult {
+    first_token: Histogram<u64>,
     rate: f64,
 }
 
-/// Spreads the requests over the callers and gathers their first tokens.
-async fn crowd<F>(ask: F) -> Run
+/// Spreads [`REQUESTS`] over [`CALLERS`] concurrent callers and records the time to the first token
+/// of each.
+///
+/// `send` takes the request's number and returns `None` if its answer was incomplete.
+async fn send_all<F>(send: F) -> DataPathResult
 where
     F: AsyncFn(usize) -> Option<Duration> + Clone + 'static,
 {
     let begun = Instant::now();
     let local = tokio::task::LocalSet::new();
-    let first = local
+    let first_token = local
         .run_until(async {
             let tasks = (0..CALLERS).map(|caller| {
-                let ask = ask.clone();
+                let send = send.clone();
                 tokio::task::spawn_local(async move {
-                    let mut firsts = Vec::new();
+                    let mut first_tokens = Vec::new();
                     for n in 0..REQUESTS / CALLERS {
-                        firsts.extend(ask(caller + n * CALLERS).await);
+                        first_tokens.extend(send(caller + n * CALLERS).await);
                     }
-                    firsts
+                    first_tokens
                 })
             });
-            let mut first = Histogram::<u64>::new(3).expect("a sound histogram");
+            let mut histogram = Histogram::<u64>::new(3).expect("a valid histogram");
             for task in tasks.collect::<Vec<_>>() {
                 for took in task.await.unwrap_or_default() {
-                    first.record(took.as_micros() as u64).expect("it resizes");
+                    histogram
+                        .record(took.as_micros() as u64)
+                        .expect("the histogram resizes");
                 }
             }
-            first
+            histogram
         })
         .await;
     assert!(
-        first.len() as usize >= REQUESTS / CALLERS * CALLERS,
-        "all answered whole"
+        first_token.len() as usize >= REQUESTS / CALLERS * CALLERS,
+        "all answers are complete"
     );
-    Run {
-        rate: first.len() as f64 / begun.elapsed().as_secs_f64(),
-        first,
+    DataPathResult {
+        rate: first_token.len() as f64 / begun.elapsed().as_secs_f64(),
+        first_token,
     }
 }
 
-async fn direct(servers: &[Server], tokens: u32) -> Run {
+/// Sends the requests to the engines themselves.
+async fn measure_direct(servers: &[Server], tokens: u32) -> DataPathResult {
     let engines = Engines::new(thistlesill_core::seal::SharedKey::new(
         b"unused by streams".as_slice(),
     ));
     let servers = servers.to_vec();
-    crowd(async move |n| {
+    send_all(async move |n| {
         let server = &servers[n % servers.len()];
         let body = format!(
             r#"{{"model":"{MODEL}","messages":[{{"role":"user","content":"bench {n}"}}],"max_tokens":{tokens},"stream":true}}"#
@@ -304,25 +312,28 @@
         };
         let begun = Instant::now();
         let mut first = None;
-        let mut whole = false;
+        let mut complete = false;
         engines
             .stream(call, |event| {
                 first.get_or_insert_with(|| begun.elapsed());
-                whole |= matches!(event, StreamEvent::End { .. });
+                complete |= matches!(event, StreamEvent::End { .. });
                 true
             })
             .await;
-        first.filter(|_| whole)
+        first.filter(|_| complete)
     })
     .await
 }
 
-async fn routed(deployment: &Deployment, tokens: u32) -> Run {
-    let caller = deployment.caller(0, "lowell").pooled();
-    crowd(async move |n| {
+/// Sends the requests through a router, over reused connections.
+async fn measure_routed(deployment: &Deployment, tokens: u32) -> DataPathResult {
+    let caller = deployment.caller(0, "lowell").with_reused_connections();
+    send_all(async move |n| {
         let prompt = format!("bench {n}");
-        let answer = caller.chat(Kind::Streamed, MODEL, &prompt, tokens).await;
-        answer.ok().map(|a| a.first)
+        let answer = caller
+            .chat(AnswerMode::Streamed, MODEL, &prompt, tokens)
+            .await;
+        answer.ok().map(|a| a.first_piece)
     })
     .await
 }
--- a/crates/thistlesill-standins/src/engine.rs
+++ b/crates/thistlesill-standins/src/engine.rs
@@ -1,4 +1,4 @@
-//! A model engine that streams, and a plain service, as one target.
+//! A target of the test fleet: a model engine that streams, or a plain service.
 
 mod handlers;
 mod state;
@@ -20,38 +20,40 @@
 
 use crate::weights::WeightStore;
 
-/// What really happened at the targets.
+/// What the targets did, counted independently of the daemons under test.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Runs begun, by request id or, for plain calls, by idempotency key.
+    /// Runs begun: by request id for completions; for plain calls by idempotency key, or by request
+    /// id if the call has none.
     pub runs: BTreeMap<String, u32>,
-    /// Tokens made while a member of the group was not present.
+    /// Tokens generated while a member of the group was not present.
     pub incomplete_tokens: u64,
-    /// Requests accepted by a target after it was told to leave, with the
-    /// milliseconds since.
+    /// Milliseconds since the target was marked as leaving, for each request that it accepted
+    /// afterwards.
     pub after_leaving: Vec<u64>,
-    /// Streams cut off by a target that was reset or lost while they ran.
+    /// Streams cut off because their target was reset or killed while they ran.
     pub cut: u64,
-    /// Orders refused for a stale fence or a wrong proof.
+    /// Orders refused for a stale fence, a wrong proof or a malformed body.
     pub refused_orders: u64,
 }
 
-/// All targets of a fleet, by instance.
+/// All targets of a fleet by instance, shared so that a target can check the other members of
+/// its group.
 pub type Registry = Arc<Mutex<HashMap<InstanceId, Arc<Engine>>>>;
 
-/// One target.
+/// One target with its HTTP server.
 #[derive(Debug)]
 pub struct Engine {
-    /// Its instance.
+    /// Instance that the target runs on.
     pub instance: InstanceId,
-    /// Where it listens.
+    /// Address that the target listens on.
     pub address: SocketAddr,
-    /// The plain service that it runs, if any.
+    /// Plain service that the target runs; `None` for a model engine.
     pub service: Option<ServiceName>,
     options: EngineOptions,
     key: SharedKey,
     state: Mutex<EngineState>,
-    /// Whether it runs; all its work waits while it is paused.
+    // All work of the target waits while it is paused.
     power: watch::Sender<Power>,
     registry: Registry,
     weights: WeightStore,
@@ -59,58 +61,58 @@
     server: Mutex<Option<JoinHandle<()>>>,
 }
 
-/// Whether a target runs.
+/// Whether a target's process runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Power {
-    /// Yes.
+    /// The target runs.
     On,
-    /// It stands still.
+    /// The target does nothing, but its memory and connections remain.
     Paused,
-    /// It is dead.
+    /// The target was killed.
     Off,
 }
 
-/// What all targets of a fleet share.
+/// State and settings that all targets of a fleet share.
 #[derive(Debug, Clone)]
-pub struct Common {
-    /// How they behave.
+pub struct EngineContext {
+    /// Timing and limits of the engines.
     pub options: EngineOptions,
-    /// The key that orders are proved with.
+    /// Key with which the planners authenticate orders.
     pub key: SharedKey,
-    /// All targets.
+    /// All targets of the fleet.
     pub registry: Registry,
-    /// The weight store.
+    /// Store that all engines load weights from.
     pub weights: WeightStore,
-    /// What happened.
+    /// Counts of what the targets did.
     pub counts: Arc<Mutex<Counts>>,
 }
 
 impl Engine {
-    /// A target that is not started yet.
+    /// Creates a target that is not started yet.
     pub fn new(
         instance: InstanceId,
         address: SocketAddr,
         service: Option<ServiceName>,
-        common: &Common,
+        context: &EngineContext,
     ) -> Arc<Self> {
-        let checks = common.options.checks_orders;
+        let checks = context.options.checks_orders;
         let state = EngineState::new(Target::new(instance.clone(), service.clone(), checks));
         Arc::new(Self {
             instance,
             address,
             service,
-            options: common.options.clone(),
-            key: common.key.clone(),
+            options: context.options.clone(),
+            key: context.key.clone(),
             state: Mutex::new(state),
             power: watch::Sender::new(Power::On),
-            registry: common.registry.clone(),
-            weights: common.weights.clone(),
-            counts: common.counts.clone(),
+            registry: context.registry.clone(),
+            weights: context.weights.clone(),
+            counts: context.counts.clone(),
             server: Mutex::new(None),
         })
     }
 
-    /// Starts serving.
+    /// Starts the target's HTTP server in a task.
     pub fn start(self: &Arc<Self>) {
         let router = handlers::router(self);
         let address = self.address;
@@ -118,7 +120,7 @@
         *lock(&self.server) = Some(task);
     }
 
-    /// Dies: connections break, its port closes, its memory is lost.
+    /// Kills the target: connections break, the port closes and all state in memory is lost.
     pub fn kill(&self) {
         self.power.send_replace(Power::Off);
         if let Some(task) = lock(&self.server).take() {
@@ -130,7 +132,7 @@
         *state = EngineState::new(target);
     }
 
-    /// Starts anew after its death.
+    /// Restarts a target that was killed; does nothing if the target was not killed.
     pub fn restart(self: &Arc<Self>) {
         if *self.power.borrow() != Power::Off {
             return;
@@ -139,39 +141,39 @@
         self.start();
     }
 
-    /// Stands still, or goes on.
-    pub fn pause(&self, paused: bool) {
+    /// Pauses the target or lets it continue; does nothing if the target was killed.
+    pub fn set_paused(&self, paused: bool) {
         let next = if paused { Power::Paused } else { Power::On };
         self.power.send_if_modified(|power| {
-            let change = *power != Power::Off && *power != next;
-            if change {
+            let changed = *power != Power::Off && *power != next;
+            if changed {
                 *power = next;
             }
-            change
+            changed
         });
     }
 
-    /// Turns slower by a factor.
-    pub fn slow(&self, factor: u32) {
-        lock(&self.state).slowness = factor.max(1);
+    /// Makes the target slower by a factor; 1 is the usual speed.
+    pub fn slow_by(&self, factor: u32) {
+        lock(&self.state).slowdown = factor.max(1);
     }
 
-    /// Says of itself that it is leaving.
-    pub fn say_leaving(&self) {
+    /// Makes the target report that it is leaving.
+    pub fn report_leaving(&self) {
         lock(&self.state).target.leaving = true;
     }
 
-    /// Notes that the platform lists it as leaving, for counting.
-    pub fn listed_leaving(&self, leaving: bool) {
-        lock(&self.state).told_leaving = leaving.then(std::time::Instant::now);
+    /// Marks the target as leaving from now on, or no longer, for [`Counts::after_leaving`].
+    pub fn mark_leaving(&self, leaving: bool) {
+        lock(&self.state).leaving_since = leaving.then(std::time::Instant::now);
     }
 
-    /// What it does.
+    /// Returns the target's current duty.
     pub fn duty(&self) -> Duty {
         lock(&self.state).target.duty.clone()
     }
 
-    /// Whether it runs and is a ready or draining member of this group.
+    /// Returns whether the target runs and is a ready or draining member of a group.
     fn is_present(&self, group: &Membership) -> bool {
         let on = *self.power.borrow() == Power::On;
         let duty = self.duty();
@@ -182,18 +184,18 @@
         on && serving && same
     }
 
-    /// Whether all members of a group are present.
-    fn is_group_whole(&self, group: &Membership) -> bool {
+    /// Returns whether all members of a group are present.
+    fn is_group_complete(&self, group: &Membership) -> bool {
         let registry = lock(&self.registry);
         let present = registry.values().filter(|e| e.is_present(group));
         present.count() as u32 == group.size
     }
 
-    /// Waits while paused; false once it is dead.
-    async fn powered(&self) -> bool {
+    /// Waits while the target is paused; returns false if it was killed.
+    async fn wait_until_running(&self) -> bool {
         let mut power = self.power.subscribe();
-        let found = power.wait_for(|p| *p != Power::Paused).await;
-        found.is_ok_and(|p| *p == Power::On)
+        let reached = power.wait_for(|p| *p != Power::Paused).await;
+        reached.is_ok_and(|p| *p == Power::On)
     }
 
     fn state(&self) -> MutexGuard<'_, EngineState> {
@@ -205,7 +207,7 @@
     }
 }
 
-/// Locks a mutex, also after a panic of another holder.
+/// Locks a mutex even if another holder has panicked.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/thistlesill-standins/src/engine/state.rs
+++ b/crates/thistlesill-standins/src/engine/state.rs
@@ -1,4 +1,4 @@
-//! What a stand-in engine remembers.
+//! State of a stand-in engine.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -10,40 +10,40 @@
 
 use super::stream::StreamLog;
 
-/// The state of one engine.
+/// State of one engine's process.
 #[derive(Debug)]
 pub struct EngineState {
-    /// What it was ordered to do.
+    /// Duty and weights of the target, as its orders changed them.
     pub target: Target,
-    /// When it was listed as leaving.
-    pub told_leaving: Option<Instant>,
-    /// How many times slower than usual it is.
-    pub slowness: u32,
-    /// Requests that run.
+    /// When the target was marked as leaving; `None` if it is not.
+    pub leaving_since: Option<Instant>,
+    /// Factor by which the engine is slower than usual.
+    pub slowdown: u32,
+    /// Requests that run now.
     pub running: u32,
-    /// Requests that wait, as priority and turn.
+    /// Tickets of the queued requests: priority (lower goes first) and number.
     pub waiting: Vec<(u8, u64)>,
-    /// Turns given so far.
-    pub turns: u64,
-    /// Requests accepted since the start.
+    /// Number of the last ticket handed out.
+    pub last_ticket: u64,
+    /// Requests accepted since the engine started.
     pub accepted: u64,
-    /// Streams by request.
+    /// Streams that run or ran, by request.
     pub streams: HashMap<RequestId, Arc<StreamLog>>,
     history: VecDeque<(Instant, Pressure)>,
-    /// The prefix cache.
+    /// Prefixes of recent prompts.
     pub cache: PrefixCache,
 }
 
 impl EngineState {
-    /// The state after a start.
+    /// Returns the state after a start of the engine.
     pub fn new(target: Target) -> Self {
         Self {
             target,
-            told_leaving: None,
-            slowness: 1,
+            leaving_since: None,
+            slowdown: 1,
             running: 0,
             waiting: Vec::new(),
-            turns: 0,
+            last_ticket: 0,
             accepted: 0,
             streams: HashMap::new(),
             history: VecDeque::new(),
@@ -51,13 +51,13 @@
         }
     }
 
-    /// Whether a request may begin, by priority and turn.
-    pub fn may_begin(&self, turn: (u8, u64), slots: u32) -> bool {
-        self.running < slots && self.waiting.iter().min() == Some(&turn)
+    /// Returns whether a slot is free and the request's ticket is the next in the queue.
+    pub fn can_begin(&self, ticket: (u8, u64), slots: u32) -> bool {
+        self.running < slots && self.waiting.iter().min() == Some(&ticket)
     }
 
-    /// The pressure as it was `lag` ago, with its age.
-    pub fn lagged(&mut self, lag: Duration, now: Instant) -> Pressure {
+    /// Records the current pressure and returns the pressure as it was `lag` ago, with its age.
+    pub fn delayed_pressure(&mut self, lag: Duration, now: Instant) -> Pressure {
         let current = Pressure {
             running: self.running,
             waiting: self.waiting.len() as u32,
--- a/crates/thistlesill-standins/src/engine/stream.rs
+++ b/crates/thistlesill-standins/src/engine/stream.rs
@@ -1,4 +1,4 @@
-//! One stream of tokens: made once, read by whoever asks for it.
+//! A stream of tokens: generated once, and read by any number of connections.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -13,21 +13,21 @@
 use super::{Engine, lock};
 use crate::words;
 
-/// Between two looks at a group that is not whole.
-const STALL: Duration = Duration::from_millis(20);
+/// Interval between two checks of an incomplete group.
+const GROUP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How far a stream is.
+/// Progress of a stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Progress {
-    /// Tokens made.
-    pub made: u32,
-    /// Whether it ended.
+    /// Position after the last generated token.
+    pub generated: u32,
+    /// Whether all tokens were generated.
     pub done: bool,
-    /// Whether it was cut off or cancelled.
-    pub cut: bool,
+    /// Whether the stream was cut off or cancelled.
+    pub aborted: bool,
 }
 
-/// A stream that an engine runs or ran.
+/// A stream that an engine runs or ran, kept so that callers can resume it.
 #[derive(Debug)]
 pub struct StreamLog {
     pub(super) request: RequestId,
@@ -48,9 +48,9 @@
         total: u32,
     ) -> Self {
         let progress = Progress {
-            made: from,
+            generated: from,
             done: false,
-            cut: false,
+            aborted: false,
         };
         Self {
             request,
@@ -63,16 +63,17 @@
         }
     }
 
-    pub(super) fn cut(&self) {
-        self.progress.send_modify(|p| p.cut = true);
+    /// Ends the stream early; its readers get an error.
+    pub(super) fn abort(&self) {
+        self.progress.send_modify(|p| p.aborted = true);
     }
 
-    fn is_over(&self) -> bool {
+    fn is_finished(&self) -> bool {
         let progress = self.progress.borrow();
-        progress.done || progress.cut
+        progress.done || progress.aborted
     }
 
-    fn event(&self, offset: u32) -> SseEvent {
+    fn token_event(&self, offset: u32) -> SseEvent {
         let id = EventId {
             request: self.request,
             group: self.group.clone(),
@@ -106,46 +107,46 @@
     }
 }
 
-/// Makes the tokens of a stream, one after the other.
-pub(super) async fn make(
+/// Generates the tokens of a stream one after the other, after the time of the prefill.
+pub(super) async fn generate(
     engine: Arc<Engine>,
     log: Arc<StreamLog>,
     member: Membership,
     prefill: Duration,
 ) {
     tokio::time::sleep(prefill).await;
-    while log.progress.borrow().made < log.total && !log.is_over() {
-        if !engine.powered().await || !still_member(&engine, &member) {
+    while log.progress.borrow().generated < log.total && !log.is_finished() {
+        if !engine.wait_until_running().await || !is_still_member(&engine, &member) {
             engine.counts().cut += 1;
-            log.cut();
+            log.abort();
             break;
         }
-        if !engine.is_group_whole(&member) {
-            // The other members are waited for, as a collective does.
-            tokio::time::sleep(STALL).await;
+        if !engine.is_group_complete(&member) {
+            // Waits for the other members, as a collective operation of a real engine does.
+            tokio::time::sleep(GROUP_POLL_INTERVAL).await;
             continue;
         }
-        log.progress.send_modify(|p| p.made += 1);
-        if !engine.is_group_whole(&member) {
+        log.progress.send_modify(|p| p.generated += 1);
+        if !engine.is_group_complete(&member) {
             engine.counts().incomplete_tokens += 1;
         }
         tokio::time::sleep(engine.token_time()).await;
     }
-    log.progress.send_modify(|p| p.done = !p.cut);
+    log.progress.send_modify(|p| p.done = !p.aborted);
     let mut state = engine.state();
     state.running = state.running.saturating_sub(1);
 }
 
-fn still_member(engine: &Engine, member: &Membership) -> bool {
+fn is_still_member(engine: &Engine, member: &Membership) -> bool {
     match engine.duty() {
         Duty::Ready(m) | Duty::Draining(m) => m == *member,
         _ => false,
     }
 }
 
-/// Reads a stream from an offset on, as server-sent events.
+/// Returns the events of a stream from an offset on, as server-sent events.
 ///
-/// A cut stream ends with an error, which breaks the connection.
+/// An aborted stream ends with an error, which breaks the connection.
 pub(super) fn read(
     engine: Arc<Engine>,
     log: Arc<StreamLog>,
@@ -160,7 +161,7 @@
         stage: Stage::Tokens,
     };
     futures_util::stream::unfold(reader, |mut reader| async move {
-        let event = reader.step().await?;
+        let event = reader.next_event().await?;
         Some((event, reader))
     })
 }
@@ -168,8 +169,8 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Stage {
     Tokens,
-    Closing,
-    Over,
+    DoneMarker,
+    Ended,
 }
 
 struct Reader {
@@ -181,59 +182,59 @@
 }
 
 impl Reader {
-    async fn step(&mut self) -> Option<Result<SseEvent, std::io::Error>> {
+    async fn next_event(&mut self) -> Option<Result<SseEvent, std::io::Error>> {
         match self.stage {
-            Stage::Over => None,
-            Stage::Closing => {
-                self.stage = Stage::Over;
+            Stage::Ended => None,
+            Stage::DoneMarker => {
+                self.stage = Stage::Ended;
                 Some(Ok(SseEvent::default().text("[DONE]")))
             }
-            Stage::Tokens => Some(self.token().await),
+            Stage::Tokens => Some(self.token_event().await),
         }
     }
 
-    async fn token(&mut self) -> Result<SseEvent, std::io::Error> {
+    async fn token_event(&mut self) -> Result<SseEvent, std::io::Error> {
         let next = self.next;
         let waited = self
             .progress
-            .wait_for(|p| p.made > next || p.done || p.cut)
+            .wait_for(|p| p.generated > next || p.done || p.aborted)
             .await;
         let progress = waited.map(|p| *p);
-        if !self.engine.powered().await {
-            return self.broken();
+        if !self.engine.wait_until_running().await {
+            return self.connection_reset();
         }
         match progress {
-            Ok(p) if p.made > next => {
+            Ok(p) if p.generated > next => {
                 self.next += 1;
-                Ok(self.log.event(next))
+                Ok(self.log.token_event(next))
             }
             Ok(p) if p.done => {
-                self.stage = Stage::Closing;
+                self.stage = Stage::DoneMarker;
                 Ok(self.log.end_event())
             }
-            _ => self.broken(),
+            _ => self.connection_reset(),
         }
     }
 
-    fn broken(&mut self) -> Result<SseEvent, std::io::Error> {
-        self.stage = Stage::Over;
+    fn connection_reset(&mut self) -> Result<SseEvent, std::io::Error> {
+        self.stage = Stage::Ended;
         Err(std::io::ErrorKind::ConnectionReset.into())
     }
 }
 
 impl Drop for Reader {
-    /// A stream that nobody reads is kept for a while, then cut.
+    /// Aborts the stream after a grace period if no other reader has come.
     fn drop(&mut self) {
         let mut readers = lock(&self.log.readers);
         *readers -= 1;
-        if *readers > 0 || self.log.is_over() {
+        if *readers > 0 || self.log.is_finished() {
             return;
         }
-        let (log, keep) = (self.log.clone(), self.engine.keep_time());
+        let (log, grace) = (self.log.clone(), self.engine.keep_timeout());
         tokio::spawn(async move {
-            tokio::time::sleep(keep).await;
+            tokio::time::sleep(grace).await;
             if *lock(&log.readers) == 0 {
-                log.cut();
+                log.abort();
             }
         });
     }
--- a/crates/thistlesill-standins/src/faults.rs
+++ b/crates/thistlesill-standins/src/faults.rs
@@ -1,84 +1,84 @@
-//! Failures that a test can order of the stand-ins.
+//! Faults that a test can inject into the stand-ins.
 
 use serde::{Deserialize, Serialize};
 use thistlesill_core::{DomainId, InstanceId};
 
-/// How the table service behaves.
+/// Behaviour of the table service.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "mode", rename_all = "snake_case")]
 pub enum TableMode {
-    /// As it should.
+    /// Answers as usual.
     #[default]
     Up,
-    /// Answers with an error and does nothing.
+    /// Answers with an error and applies nothing.
     Down,
-    /// Answers late.
+    /// Answers after a delay.
     Slow {
-        /// How late.
+        /// Delay in milliseconds.
         ms: u64,
     },
-    /// Does what it is asked and loses the answer.
+    /// Applies transactions but answers them with an error, as if the answer was lost.
     LoseAnswers,
 }
 
-/// A failure, or its end.
+/// A fault to inject, or the end of one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "fault", rename_all = "snake_case")]
 pub enum Fault {
-    /// Sets how the table behaves.
+    /// Sets the behaviour of the table service.
     Table(TableMode),
-    /// An instance dies.
+    /// Kills an instance.
     Kill {
         /// The instance.
         instance: InstanceId,
     },
-    /// A dead instance starts anew.
+    /// Restarts an instance that was killed.
     Restart {
         /// The instance.
         instance: InstanceId,
     },
-    /// An instance stops doing anything.
+    /// Pauses an instance; its connections stay open.
     Pause {
         /// The instance.
         instance: InstanceId,
     },
-    /// A paused instance goes on as if nothing had happened.
+    /// Lets a paused instance continue with its state unchanged.
     Continue {
         /// The instance.
         instance: InstanceId,
     },
-    /// An instance turns slow.
+    /// Slows an instance down.
     Slow {
         /// The instance.
         instance: InstanceId,
-        /// How many times slower; 1 ends it.
+        /// Factor by which the instance is slower; 1 ends the fault.
         factor: u32,
     },
-    /// A whole fabric domain goes dark.
+    /// Kills all instances of a fabric domain.
     Dark {
         /// The domain.
         domain: DomainId,
     },
-    /// A dark domain comes back, its instances started anew.
+    /// Restarts the killed instances of a fabric domain.
     Light {
         /// The domain.
         domain: DomainId,
     },
-    /// An instance is listed as leaving, or no more.
+    /// Lists an instance as leaving, or no longer.
     Leave {
         /// The instance.
         instance: InstanceId,
-        /// Whether it leaves.
+        /// Whether the instance is leaving.
         leaving: bool,
     },
-    /// An instance says itself that it is leaving.
+    /// Makes an instance report that it is leaving; the platform's list does not change.
     SayLeaving {
         /// The instance.
         instance: InstanceId,
     },
-    /// The list stops following, or follows again.
+    /// Stops updates of the platform's list of instances, or resumes them.
     FreezeList {
-        /// Whether it is frozen.
+        /// Whether the list is frozen.
         frozen: bool,
     },
 }
--- a/crates/thistlesill-standins/src/fleet.rs
+++ b/crates/thistlesill-standins/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A whole fleet of stand-ins, as its file describes it.
+//! A fleet of stand-ins, as described by its fleet file.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -9,59 +9,60 @@
 use thistlesill_core::{DomainId, InstanceId};
 use thistlesill_fakes::FleetFile;
 
-use crate::engine::{Common, Counts, Engine, lock};
+use crate::engine::{Counts, Engine, EngineContext, lock};
 use crate::faults::Fault;
 use crate::platform::{self, PlatformState};
 use crate::weights::WeightStore;
 
-/// A running fleet.
+/// A fleet of stand-in targets and their platform.
 #[derive(Debug)]
 pub struct Fleet {
-    /// What the targets share.
-    pub common: Common,
-    /// The platform.
+    /// State and settings that the targets share.
+    pub context: EngineContext,
+    /// State of the platform.
     pub platform: PlatformState,
     engines: HashMap<InstanceId, Arc<Engine>>,
-    places: Vec<ListedInstance>,
-    truth: Mutex<HashMap<InstanceId, bool>>,
-    frozen: Mutex<bool>,
+    instances: Vec<ListedInstance>,
+    // Current even while the platform's list is frozen.
+    leaving: Mutex<HashMap<InstanceId, bool>>,
+    list_frozen: Mutex<bool>,
 }
 
 impl Fleet {
-    /// Makes the fleet of a file.
+    /// Creates the fleet that a file describes; `key` authenticates orders.
     pub fn new(file: &FleetFile, key: SharedKey) -> Arc<Self> {
-        let common = Common {
+        let context = EngineContext {
             weights: WeightStore::new(file.engine.loads_per_second),
             options: file.engine.clone(),
             key,
             registry: Arc::new(Mutex::new(HashMap::new())),
             counts: Arc::new(Mutex::new(Counts::default())),
         };
-        let places = file.places();
+        let instances = file.places();
         let mut engines = HashMap::new();
-        for place in &places {
+        for listed in &instances {
             let engine = Engine::new(
-                place.instance.clone(),
-                place.address,
-                place.service.clone(),
-                &common,
+                listed.instance.clone(),
+                listed.address,
+                listed.service.clone(),
+                &context,
             );
-            engines.insert(place.instance.clone(), engine);
+            engines.insert(listed.instance.clone(), engine);
         }
-        lock(&common.registry).extend(engines.clone());
+        lock(&context.registry).extend(engines.clone());
         let platform = PlatformState::default();
-        lock(&platform.listed).clone_from(&places);
+        lock(&platform.listed).clone_from(&instances);
         Arc::new(Self {
-            common,
+            context,
             platform,
             engines,
-            places,
-            truth: Mutex::new(HashMap::new()),
-            frozen: Mutex::new(false),
+            instances,
+            leaving: Mutex::new(HashMap::new()),
+            list_frozen: Mutex::new(false),
         })
     }
 
-    /// Starts all targets, then serves the platform, for ever.
+    /// Starts all targets, then serves the platform until the process ends.
     pub async fn serve(self: Arc<Self>, address: SocketAddr) {
         for engine in self.engines.values() {
             engine.start();
@@ -69,61 +70,61 @@
         thistlesill_net::admin::serve(address, platform::router(&self)).await;
     }
 
-    /// All instances.
-    pub fn places(&self) -> &[ListedInstance] {
-        &self.places
+    /// Returns all instances as the fleet file lists them.
+    pub fn instances(&self) -> &[ListedInstance] {
+        &self.instances
     }
 
-    /// Makes a failure happen, or end.
+    /// Injects a fault or ends one.
     pub fn apply(&self, fault: &Fault) {
         match fault {
             Fault::Table(mode) => *lock(&self.platform.mode) = *mode,
-            Fault::Kill { instance } => self.with(instance, |e| e.kill()),
-            Fault::Restart { instance } => self.with(instance, Engine::restart),
-            Fault::Pause { instance } => self.with(instance, |e| e.pause(true)),
-            Fault::Continue { instance } => self.with(instance, |e| e.pause(false)),
-            Fault::Slow { instance, factor } => self.with(instance, |e| e.slow(*factor)),
-            Fault::Dark { domain } => self.in_domain(domain, |e| e.kill()),
-            Fault::Light { domain } => self.in_domain(domain, Engine::restart),
+            Fault::Kill { instance } => self.with_engine(instance, |e| e.kill()),
+            Fault::Restart { instance } => self.with_engine(instance, Engine::restart),
+            Fault::Pause { instance } => self.with_engine(instance, |e| e.set_paused(true)),
+            Fault::Continue { instance } => self.with_engine(instance, |e| e.set_paused(false)),
+            Fault::Slow { instance, factor } => self.with_engine(instance, |e| e.slow_by(*factor)),
+            Fault::Dark { domain } => self.with_domain(domain, |e| e.kill()),
+            Fault::Light { domain } => self.with_domain(domain, Engine::restart),
             Fault::Leave { instance, leaving } => {
-                self.with(instance, |e| e.listed_leaving(*leaving));
-                lock(&self.truth).insert(instance.clone(), *leaving);
-                self.publish();
+                self.with_engine(instance, |e| e.mark_leaving(*leaving));
+                lock(&self.leaving).insert(instance.clone(), *leaving);
+                self.update_list();
             }
             Fault::SayLeaving { instance } => {
-                self.with(instance, |e| {
-                    e.listed_leaving(true);
-                    e.say_leaving();
+                self.with_engine(instance, |e| {
+                    e.mark_leaving(true);
+                    e.report_leaving();
                 });
             }
             Fault::FreezeList { frozen } => {
-                *lock(&self.frozen) = *frozen;
-                self.publish();
+                *lock(&self.list_frozen) = *frozen;
+                self.update_list();
             }
         }
     }
 
-    fn with(&self, instance: &InstanceId, f: impl Fn(&Arc<Engine>)) {
+    fn with_engine(&self, instance: &InstanceId, f: impl Fn(&Arc<Engine>)) {
         if let Some(engine) = self.engines.get(instance) {
             f(engine);
         }
     }
 
-    fn in_domain(&self, domain: &DomainId, f: impl Fn(&Arc<Engine>)) {
-        let inside = self.places.iter().filter(|p| p.domain == *domain);
-        for place in inside {
-            self.with(&place.instance, &f);
+    fn with_domain(&self, domain: &DomainId, f: impl Fn(&Arc<Engine>)) {
+        let in_domain = self.instances.iter().filter(|p| p.domain == *domain);
+        for listed in in_domain {
+            self.with_engine(&listed.instance, &f);
         }
     }
 
-    /// Brings the list up to date, unless it is frozen.
-    fn publish(&self) {
-        if *lock(&self.frozen) {
+    /// Updates the platform's list of instances unless it is frozen.
+    fn update_list(&self) {
+        if *lock(&self.list_frozen) {
             return;
         }
-        let truth = lock(&self.truth).clone();
+        let leaving = lock(&self.leaving).clone();
         for entry in lock(&self.platform.listed).iter_mut() {
-            entry.leaving = truth.get(&entry.instance).copied().unwrap_or(false);
+            entry.leaving = leaving.get(&entry.instance).copied().unwrap_or(false);
         }
     }
 }
--- a/crates/thistlesill-standins/src/harness.rs
+++ b/crates/thistlesill-standins/src/harness.rs
@@ -1,10 +1,10 @@
-//! Starts a whole deployment as separate processes on loopback, for the
-//! demo and for tests of failures.
+//! Starts a deployment as separate processes on loopback, for the demo, the benchmark and tests
+//! of failures.
 
 mod caller;
 mod deployment;
 mod process;
 
-pub use caller::{Caller, CallerError, ChatAnswer, ErrorAnswer, Kind};
+pub use caller::{AnswerMode, Caller, CallerError, ChatAnswer, ErrorAnswer};
 pub use deployment::{Deployment, Options};
-pub use process::{Child, binary};
+pub use process::{ChildProcess, binary};
--- a/crates/thistlesill-standins/src/harness/caller.rs
+++ b/crates/thistlesill-standins/src/harness/caller.rs
@@ -1,4 +1,4 @@
-//! A caller of a router, as a customer's program would be.
+//! HTTP client of a router, as a customer's program would use one.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -12,40 +12,40 @@
 use thistlesill_core::error::ErrorBody;
 use thistlesill_net::http::{HttpClient, HttpError, finish, read_body};
 
-/// Time for a whole answer.
-const LIMIT: Duration = Duration::from_secs(60);
+/// Time within which the router must begin its answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// How an answer is wanted.
+/// How the router sends an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kind {
-    /// As a stream.
+pub enum AnswerMode {
+    /// As a stream of events.
     Streamed,
-    /// Whole.
-    Whole,
+    /// As one JSON body.
+    Complete,
 }
 
-/// An error answer.
+/// An error answer of the router.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ErrorAnswer {
-    /// HTTP status; 200 for an error within a stream.
+    /// HTTP status; 200 for an error event within a stream.
     pub status: u16,
-    /// Its body.
+    /// Body that describes the error.
     pub body: ErrorBody,
 }
 
-/// Why a caller has no whole answer.
+/// Why a caller has no complete answer.
 #[derive(Debug)]
 pub enum CallerError {
     /// The router answered with an error.
     Answered(ErrorAnswer),
-    /// The connection failed.
-    Lost(HttpError),
-    /// The stream ended too early; what came, and the last event's id.
-    Broken(Box<ChatAnswer>),
+    /// The connection failed, or the answer was no valid error body.
+    Connection(HttpError),
+    /// The stream ended too early; holds what was received.
+    Incomplete(Box<ChatAnswer>),
 }
 
 impl CallerError {
-    /// The error's answer, if there is one.
+    /// Returns the router's error answer, if it sent one.
     pub const fn answer(&self) -> Option<&ErrorAnswer> {
         match self {
             Self::Answered(answer) => Some(answer),
@@ -54,74 +54,74 @@
     }
 }
 
-/// An answer to a chat request.
+/// The answer to a chat request, as far as it was received.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ChatAnswer {
-    /// The request's id.
+    /// The request's id, from the header `x-request-id`.
     pub request: String,
-    /// The text.
+    /// The text of all pieces.
     pub text: String,
-    /// Pieces that came.
+    /// Number of pieces received; 0 unless the answer was streamed.
     pub pieces: u32,
-    /// The id of the last event.
+    /// Id of the last event with text, for a resumption.
     pub last_id: String,
-    /// Time to the first piece.
-    pub first: Duration,
-    /// Time to the end.
-    pub took: Duration,
+    /// Time to the first piece, or to the end unless the answer was streamed.
+    pub first_piece: Duration,
+    /// Time to the end of the answer; zero if the answer is incomplete.
+    pub elapsed: Duration,
 }
 
-/// A caller.
+/// A caller of one router with a customer's token.
 #[derive(Debug, Clone)]
 pub struct Caller {
     address: SocketAddr,
     token: String,
     http: HttpClient,
     headers: Vec<(String, String)>,
-    stop_after: Option<u32>,
+    disconnect_after: Option<u32>,
 }
 
 impl Caller {
-    /// A caller of a router.
+    /// Creates a caller that opens a connection for each request.
     pub fn new(address: SocketAddr, token: String) -> Self {
         Self {
             address,
             token,
             http: HttpClient::fresh(),
             headers: Vec::new(),
-            stop_after: None,
+            disconnect_after: None,
         }
     }
 
-    /// The same caller with a header on every request.
+    /// Adds a header to every request.
     #[must_use]
     pub fn with_header(mut self, name: &str, value: &str) -> Self {
         self.headers.push((name.to_owned(), value.to_owned()));
         self
     }
 
-    /// The same caller with connections that are used again.
+    /// Reuses connections instead of opening one for each request.
     #[must_use]
-    pub fn pooled(mut self) -> Self {
+    pub fn with_reused_connections(mut self) -> Self {
         self.http = HttpClient::pooled();
         self
     }
 
-    /// The same caller, which goes away after so many pieces.
+    /// Disconnects from a stream after a number of pieces.
     #[must_use]
-    pub const fn stop_after(mut self, pieces: u32) -> Self {
-        self.stop_after = Some(pieces);
+    pub const fn disconnect_after(mut self, pieces: u32) -> Self {
+        self.disconnect_after = Some(pieces);
         self
     }
 
-    /// Asks for a chat completion.
+    /// Requests a chat completion of at most `tokens` tokens.
     ///
     /// # Errors
     ///
-    /// A [`CallerError`] unless the answer is whole.
+    /// A [`CallerError`] unless the answer is complete.
     pub async fn chat(
         &self,
-        kind: Kind,
+        mode: AnswerMode,
         model: &str,
         prompt: &str,
         tokens: u32,
@@ -130,7 +130,7 @@
             "model": model,
             "messages": [{"role": "user", "content": prompt}],
             "max_tokens": tokens,
-            "stream": kind == Kind::Streamed,
+            "stream": mode == AnswerMode::Streamed,
         });
         let begun = Instant::now();
         let response = self.post("/v1/chat/completions", body.to_string()).await?;
@@ -144,13 +144,13 @@
             request,
             ..ChatAnswer::default()
         };
-        match kind {
-            Kind::Streamed => self.read_stream(response, answer, begun).await,
-            Kind::Whole => read_whole(response, answer, begun).await,
+        match mode {
+            AnswerMode::Streamed => self.read_stream(response, answer, begun).await,
+            AnswerMode::Complete => read_complete(response, answer, begun).await,
         }
     }
 
-    /// Calls a plain service; returns status and body.
+    /// Calls a plain service and returns the body of its answer.
     ///
     /// # Errors
     ///
@@ -164,11 +164,11 @@
         let path = format!("/services/{service}/{path}");
         let response = self.post(&path, body.to_owned()).await?;
         let bytes = read_body(response.into_body()).await;
-        let bytes = bytes.map_err(CallerError::Lost)?;
+        let bytes = bytes.map_err(CallerError::Connection)?;
         Ok(String::from_utf8_lossy(&bytes).into_owned())
     }
 
-    /// Gets a path; returns its JSON.
+    /// Sends a GET request and returns the JSON of the answer; `Null` if the body is not JSON.
     ///
     /// # Errors
     ///
@@ -177,11 +177,11 @@
         let head = Request::get(format!("http://{}{path}", self.address));
         let response = self.call(head, Bytes::new()).await?;
         let bytes = read_body(response.into_body()).await;
-        let bytes = bytes.map_err(CallerError::Lost)?;
+        let bytes = bytes.map_err(CallerError::Connection)?;
         Ok(serde_json::from_slice(&bytes).unwrap_or(Value::Null))
     }
 
-    /// Posts a body as it is.
+    /// Sends a POST request with a body of JSON and returns the answer with its body unread.
     ///
     /// # Errors
     ///
@@ -205,18 +205,18 @@
         for (name, value) in &self.headers {
             head = head.header(name, value);
         }
-        let request = finish(head, body).map_err(CallerError::Lost)?;
-        let sent = self.http.send(request, LIMIT).await;
-        let response = sent.map_err(CallerError::Lost)?;
+        let request = finish(head, body).map_err(CallerError::Connection)?;
+        let sent = self.http.send(request, ANSWER_TIMEOUT).await;
+        let response = sent.map_err(CallerError::Connection)?;
         let status = response.status().as_u16();
         if response.status().is_success() {
             return Ok(response);
         }
         let bytes = read_body(response.into_body()).await;
-        let bytes = bytes.map_err(CallerError::Lost)?;
+        let bytes = bytes.map_err(CallerError::Connection)?;
         match serde_json::from_slice(&bytes) {
             Ok(body) => Err(CallerError::Answered(ErrorAnswer { status, body })),
-            Err(_) => Err(CallerError::Lost(HttpError::Status {
+            Err(_) => Err(CallerError::Connection(HttpError::Status {
                 status,
                 body: String::from_utf8_lossy(&bytes).into_owned(),
             })),
@@ -235,11 +235,11 @@
                 let body = serde_json::from_str(&event.data);
                 return Err(match body {
                     Ok(body) => CallerError::Answered(ErrorAnswer { status: 200, body }),
-                    Err(_) => CallerError::Broken(Box::new(answer)),
+                    Err(_) => CallerError::Incomplete(Box::new(answer)),
                 });
             }
             if event.data == "[DONE]" {
-                answer.took = begun.elapsed();
+                answer.elapsed = begun.elapsed();
                 return Ok(answer);
             }
             let chunk: Value = serde_json::from_str(&event.data).unwrap_or_default();
@@ -247,30 +247,30 @@
                 continue;
             };
             if answer.pieces == 0 {
-                answer.first = begun.elapsed();
+                answer.first_piece = begun.elapsed();
             }
             answer.pieces += 1;
             answer.text.push_str(text);
             answer.last_id = event.id;
-            if self.stop_after == Some(answer.pieces) {
+            if self.disconnect_after == Some(answer.pieces) {
                 break;
             }
         }
-        Err(CallerError::Broken(Box::new(answer)))
+        Err(CallerError::Incomplete(Box::new(answer)))
     }
 }
 
-async fn read_whole(
+async fn read_complete(
     response: hyper::Response<hyper::body::Incoming>,
     mut answer: ChatAnswer,
     begun: Instant,
 ) -> Result<ChatAnswer, CallerError> {
     let bytes = read_body(response.into_body()).await;
-    let bytes = bytes.map_err(CallerError::Lost)?;
-    let whole: Value = serde_json::from_slice(&bytes).unwrap_or_default();
-    let text = whole["choices"][0]["message"]["content"].as_str();
+    let bytes = bytes.map_err(CallerError::Connection)?;
+    let completion: Value = serde_json::from_slice(&bytes).unwrap_or_default();
+    let text = completion["choices"][0]["message"]["content"].as_str();
     text.unwrap_or_default().clone_into(&mut answer.text);
-    answer.took = begun.elapsed();
-    answer.first = answer.took;
+    answer.elapsed = begun.elapsed();
+    answer.first_piece = answer.elapsed;
     Ok(answer)
 }
--- a/crates/thistlesill-standins/src/harness/deployment.rs
+++ b/crates/thistlesill-standins/src/harness/deployment.rs
@@ -1,4 +1,4 @@
-//! One fleet: stand-ins, planners, routers and the files for them.
+//! A deployment under test: the processes of the stand-ins, planners and routers, and their files.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
@@ -15,7 +15,7 @@
 use thistlesill_policy::router::Status;
 
 use super::caller::Caller;
-use super::process::{Child, binary};
+use super::process::{ChildProcess, binary};
 use crate::faults::Fault;
 use crate::platform::PlatformCounts;
 use thistlesill_fakes::FleetFile;
@@ -25,50 +25,51 @@
 const CALLER_PORT: u16 = 8_000;
 const ADMIN_PORT: u16 = 8_100;
 const PEER_PORT: u16 = 8_200;
-/// Between two looks at something that is waited for.
-const LOOK: Duration = Duration::from_millis(25);
-/// Time for a call of the stand-ins or a daemon.
-const CALL: Duration = Duration::from_secs(5);
-/// The secret shared by the daemons of a test fleet.
-const KEY: &str = "0123456789abcdef0123456789abcdef";
-/// The operators' token of a test fleet.
-pub(super) const TOKEN: &str = "operators-test-token";
-
-static DEPLOYMENTS: AtomicU8 = AtomicU8::new(1);
-
-/// What to start.
+/// Interval between two checks of an awaited condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
+/// Timeout of a call of the stand-ins or of a daemon.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
+/// Secret that the daemons of a test fleet share.
+const SHARED_SECRET: &str = "0123456789abcdef0123456789abcdef";
+/// Operators' token of a test fleet.
+pub(super) const OPERATOR_TOKEN: &str = "operators-test-token";
+
+/// Number of the next deployment of this process, the last byte of its address.
+static NEXT_DEPLOYMENT: AtomicU8 = AtomicU8::new(1);
+
+/// Size, files and settings of a deployment to start.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// The fleet's file and settings.
+    /// The fleet of stand-ins; [`Deployment::prepare`] sets its addresses and key file.
     pub fleet: FleetFile,
-    /// The tree of settings.
+    /// The operators' settings tree.
     pub tree: TreeFile,
-    /// How many routers.
+    /// Number of routers.
     pub routers: usize,
-    /// How many planners.
+    /// Number of planners.
     pub planners: usize,
-    /// Periods of the daemons.
+    /// Periods of all daemons.
     pub periods: Periods,
-    /// Limits of the daemons.
+    /// Limits of all daemons.
     pub limits: Limits,
 }
 
 impl Options {
-    /// The deployment in a folder of `deploy/`, with a router and a planner
-    /// per hall.
+    /// Returns the deployment in the folder `name` of `deploy/`, with three routers and three
+    /// planners.
     ///
     /// # Panics
     ///
     /// If the files are missing or malformed.
-    pub fn deployed(name: &str) -> Self {
+    pub fn from_deploy_dir(name: &str) -> Self {
         let dir = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy");
         let read = |file: &str| {
             let path = dir.join(name).join(file);
             std::fs::read_to_string(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
         };
         Self {
-            fleet: jsonc::from_str(&read("fleet.jsonc")).expect("a sound fleet file"),
-            tree: jsonc::from_str(&read("settings.jsonc")).expect("a sound settings file"),
+            fleet: jsonc::from_str(&read("fleet.jsonc")).expect("a valid fleet file"),
+            tree: jsonc::from_str(&read("settings.jsonc")).expect("a valid settings file"),
             routers: 3,
             planners: 3,
             periods: Periods {
@@ -80,17 +81,19 @@
     }
 }
 
-/// A running deployment.
+/// A deployment under test; its processes are killed and its files removed on drop.
+///
+/// The files stay if the test panics or the variable `THISTLESILL_KEEP` is set.
 #[derive(Debug)]
 pub struct Deployment {
-    /// Its folder with files and logs.
+    /// Folder with the deployment's files and logs.
     pub dir: PathBuf,
     options: Options,
     ip: IpAddr,
     http: HttpClient,
-    standins: Option<Child>,
-    routers: Vec<Option<Child>>,
-    planners: Vec<Option<Child>>,
+    standins: Option<ChildProcess>,
+    routers: Vec<Option<ChildProcess>>,
+    planners: Vec<Option<ChildProcess>>,
 }
 
 impl Deployment {
@@ -108,13 +111,13 @@
         deployment
     }
 
-    /// Writes the files only.
+    /// Writes the files without starting a process.
     ///
     /// # Panics
     ///
     /// If a file cannot be written.
     pub fn prepare(mut options: Options) -> Self {
-        let ip = own_ip();
+        let ip = unused_loopback_ip();
         let dir = std::env::temp_dir().join(format!("thistlesill-{ip}"));
         drop(std::fs::remove_dir_all(&dir));
         std::fs::create_dir_all(&dir).expect("a folder for files");
@@ -122,8 +125,8 @@
         options.fleet.targets = ip;
         options.fleet.first_port = FIRST_TARGET_PORT;
         options.fleet.key_file = dir.join("key");
-        std::fs::write(dir.join("key"), KEY).expect("a file");
-        std::fs::write(dir.join("token"), TOKEN).expect("a file");
+        std::fs::write(dir.join("key"), SHARED_SECRET).expect("a file");
+        std::fs::write(dir.join("token"), OPERATOR_TOKEN).expect("a file");
         let deployment = Self {
             http: HttpClient::pooled(),
             standins: None,
@@ -141,11 +144,11 @@
         self.write("fleet.jsonc", &self.options.fleet);
         self.write("settings.jsonc", &self.options.tree);
         for (n, _) in self.routers.iter().enumerate() {
-            let config = self.config(Role::Router, n);
+            let config = self.daemon_config(Role::Router, n);
             self.write(&format!("{}.jsonc", config.name), &config);
         }
         for (n, _) in self.planners.iter().enumerate() {
-            let config = self.config(Role::Planner, n);
+            let config = self.daemon_config(Role::Planner, n);
             self.write(&format!("{}.jsonc", config.name), &config);
         }
         let daemons = self.all_daemons().into_iter();
@@ -154,9 +157,9 @@
             token_file: self.dir.join("token"),
             daemons: daemons
                 .map(|(role, n)| DaemonAddress {
-                    name: self.name(role, n),
+                    name: self.daemon_name(role, n),
                     role,
-                    admin: self.admin(role, n),
+                    admin: self.admin_address(role, n),
                 })
                 .collect(),
         };
@@ -179,7 +182,7 @@
         halls[n % halls.len()].hall.clone()
     }
 
-    fn name(&self, role: Role, n: usize) -> NodeId {
+    fn daemon_name(&self, role: Role, n: usize) -> NodeId {
         let letter = match role {
             Role::Router => 'r',
             Role::Planner => 'p',
@@ -195,28 +198,28 @@
         base + offset + n as u16
     }
 
-    const fn admin(&self, role: Role, n: usize) -> SocketAddr {
+    const fn admin_address(&self, role: Role, n: usize) -> SocketAddr {
         SocketAddr::new(self.ip, Self::port(ADMIN_PORT, role, n))
     }
 
-    const fn peer(&self, role: Role, n: usize) -> SocketAddr {
+    const fn peer_address(&self, role: Role, n: usize) -> SocketAddr {
         SocketAddr::new(self.ip, Self::port(PEER_PORT, role, n))
     }
 
-    fn config(&self, role: Role, n: usize) -> DaemonConfig {
-        let me = self.name(role, n);
+    fn daemon_config(&self, role: Role, n: usize) -> DaemonConfig {
+        let me = self.daemon_name(role, n);
         let peers = self.all_daemons().into_iter();
         DaemonConfig {
             region: self.options.fleet.region.clone(),
             hall: self.hall(n),
-            callers: (role == Role::Router).then(|| self.callers(n)),
-            admin: self.admin(role, n),
-            peer: self.peer(role, n),
+            callers: (role == Role::Router).then(|| self.caller_address(n)),
+            admin: self.admin_address(role, n),
+            peer: self.peer_address(role, n),
             peers: peers
                 .map(|(role, n)| PeerConfig {
-                    name: self.name(role, n),
+                    name: self.daemon_name(role, n),
                     hall: self.hall(n),
-                    peer: self.peer(role, n),
+                    peer: self.peer_address(role, n),
                     role,
                 })
                 .filter(|p| p.name != me)
@@ -230,106 +233,110 @@
         }
     }
 
-    /// Where a router answers callers.
-    pub const fn callers(&self, n: usize) -> SocketAddr {
+    /// Returns the address at which a router answers callers.
+    pub const fn caller_address(&self, n: usize) -> SocketAddr {
         SocketAddr::new(self.ip, CALLER_PORT + n as u16)
     }
 
-    /// A caller of one router with a customer's token.
+    /// Returns a caller of one router with a customer's token.
     pub fn caller(&self, router: usize, customer: &str) -> Caller {
-        Caller::new(self.callers(router), format!("{customer}-demo-token"))
+        Caller::new(
+            self.caller_address(router),
+            format!("{customer}-demo-token"),
+        )
     }
 
-    /// Starts the stand-ins.
+    /// Starts the process of the stand-ins.
     pub fn start_standins(&mut self) {
         let file = self.dir.join("fleet.jsonc");
         let log = self.dir.join("standins.log");
-        self.standins = Some(Child::start("thistlesill-standins", &[&file], &log));
+        self.standins = Some(ChildProcess::start("thistlesill-standins", &[&file], &log));
     }
 
-    /// Starts a router, also anew after its end.
+    /// Starts a router or restarts one; a process of it that still runs is killed.
     pub fn start_router(&mut self, n: usize) {
-        self.routers[n] = Some(self.daemon(Role::Router, n));
+        self.routers[n] = Some(self.start_daemon(Role::Router, n));
     }
 
-    /// Starts a planner, also anew after its end.
+    /// Starts a planner or restarts one; a process of it that still runs is killed.
     pub fn start_planner(&mut self, n: usize) {
-        self.planners[n] = Some(self.daemon(Role::Planner, n));
+        self.planners[n] = Some(self.start_daemon(Role::Planner, n));
     }
 
-    fn daemon(&self, role: Role, n: usize) -> Child {
-        let name = self.name(role, n);
+    fn start_daemon(&self, role: Role, n: usize) -> ChildProcess {
+        let name = self.daemon_name(role, n);
         let program = match role {
             Role::Router => "thistlesill-router",
             Role::Planner => "thistlesill-planner",
         };
         let config = self.dir.join(format!("{name}.jsonc"));
         let log = self.dir.join(format!("{name}.log"));
-        Child::start(program, &[&config], &log)
+        ChildProcess::start(program, &[&config], &log)
     }
 
-    /// A router's process.
+    /// Returns a router's process.
     ///
     /// # Panics
     ///
-    /// If it was not started.
-    pub fn router(&mut self, n: usize) -> &mut Child {
+    /// If the router was not started.
+    pub fn router(&mut self, n: usize) -> &mut ChildProcess {
         self.routers[n].as_mut().expect("a started router")
     }
 
-    /// A planner's process.
+    /// Returns a planner's process.
     ///
     /// # Panics
     ///
-    /// If it was not started.
-    pub fn planner(&mut self, n: usize) -> &mut Child {
+    /// If the planner was not started.
+    pub fn planner(&mut self, n: usize) -> &mut ChildProcess {
         self.planners[n].as_mut().expect("a started planner")
     }
 
-    /// A daemon's metrics, as text.
+    /// Returns a daemon's metrics as text, empty if the daemon does not answer.
     pub async fn metrics(&self, role: Role, n: usize) -> String {
-        let head = hyper::Request::get(format!("http://{}/metrics", self.admin(role, n)));
+        let head = hyper::Request::get(format!("http://{}/metrics", self.admin_address(role, n)));
         let Ok(request) = thistlesill_net::http::finish(head, bytes::Bytes::new()) else {
             return String::new();
         };
-        let answer = self.http.call(request, CALL).await;
+        let answer = self.http.call(request, CALL_TIMEOUT).await;
         let bytes = answer.map(hyper::Response::into_body).unwrap_or_default();
         String::from_utf8_lossy(&bytes).into_owned()
     }
 
-    fn child(&self, role: Role, n: usize) -> Option<&Child> {
+    fn daemon_process(&self, role: Role, n: usize) -> Option<&ChildProcess> {
         match role {
             Role::Router => self.routers[n].as_ref(),
             Role::Planner => self.planners[n].as_ref(),
         }
     }
 
-    /// Processor time that a daemon has used so far.
-    pub fn processor_time(&self, role: Role, n: usize) -> Duration {
-        let child = self.child(role, n);
-        child.map_or(Duration::ZERO, Child::processor_time)
+    /// Returns the CPU time that a daemon has used so far; zero if the daemon was not started.
+    pub fn cpu_time(&self, role: Role, n: usize) -> Duration {
+        let child = self.daemon_process(role, n);
+        child.map_or(Duration::ZERO, ChildProcess::cpu_time)
     }
 
-    /// Memory that a daemon holds, in kilobytes.
+    /// Returns a daemon's resident memory in kilobytes; 0 if the daemon was not started.
     pub fn resident_kb(&self, role: Role, n: usize) -> u64 {
-        self.child(role, n).map_or(0, Child::resident_kb)
+        self.daemon_process(role, n)
+            .map_or(0, ChildProcess::resident_kb)
     }
 
-    /// How many routers and planners there are.
-    pub fn sizes(&self) -> (usize, usize) {
+    /// Returns the number of routers and of planners.
+    pub fn daemon_counts(&self) -> (usize, usize) {
         (self.routers.len(), self.planners.len())
     }
 
     async fn wait_platform(&self) {
         let up = self
-            .until(Duration::from_secs(10), async || {
+            .wait_until(Duration::from_secs(10), async || {
                 self.counts().await.is_ok()
             })
             .await;
         assert!(up, "the stand-ins did not start");
     }
 
-    /// What happened at the platform and its targets.
+    /// Returns what the platform and the targets have counted.
     ///
     /// # Errors
     ///
@@ -337,24 +344,24 @@
     pub async fn counts(&self) -> Result<PlatformCounts, HttpError> {
         let call = self
             .http
-            .get_json(self.options.fleet.platform, "/counts", CALL);
+            .get_json(self.options.fleet.platform, "/counts", CALL_TIMEOUT);
         call.await
     }
 
-    /// Makes a failure happen, or end.
+    /// Injects a fault into the stand-ins or ends one.
     ///
     /// # Panics
     ///
     /// If the stand-ins do not answer.
-    pub async fn fault(&self, fault: &Fault) {
+    pub async fn inject(&self, fault: &Fault) {
         let platform = self.options.fleet.platform;
         let call = self
             .http
-            .post_json::<_, String>(platform, "/fault", fault, CALL);
+            .post_json::<_, String>(platform, "/fault", fault, CALL_TIMEOUT);
         call.await.expect("the stand-ins answer");
     }
 
-    /// Asks a daemon as an operator.
+    /// Fetches a path of a daemon's admin interface with the operators' token.
     ///
     /// # Errors
     ///
@@ -365,13 +372,14 @@
         n: usize,
         path: &str,
     ) -> Result<T, HttpError> {
-        let url = format!("http://{}{path}", self.admin(role, n));
-        let head = hyper::Request::get(url).header("authorization", format!("Bearer {TOKEN}"));
+        let url = format!("http://{}{path}", self.admin_address(role, n));
+        let head =
+            hyper::Request::get(url).header("authorization", format!("Bearer {OPERATOR_TOKEN}"));
         let request = thistlesill_net::http::finish(head, bytes::Bytes::new())?;
-        thistlesill_net::http::decode(&self.http.call(request, CALL).await?)
+        thistlesill_net::http::decode(&self.http.call(request, CALL_TIMEOUT).await?)
     }
 
-    /// A router's figures.
+    /// Returns a router's status.
     ///
     /// # Errors
     ///
@@ -380,11 +388,11 @@
         self.admin_get(Role::Router, n, "/admin/status").await
     }
 
-    /// Runs the operators' client; returns its exit code and output.
+    /// Runs the operators' client and returns its exit code and output.
     ///
     /// # Panics
     ///
-    /// If it cannot be started.
+    /// If the client cannot be started.
     pub fn cli(&self, arguments: &[&str]) -> (i32, String) {
         let output = std::process::Command::new(binary("thistlesill"))
             .arg("--fleet")
@@ -397,18 +405,18 @@
         (output.status.code().unwrap_or(-1), text)
     }
 
-    /// Puts the deployment's settings in force.
+    /// Puts the deployment's settings in force with the client.
     ///
     /// # Panics
     ///
-    /// If they are refused.
+    /// If the settings are refused.
     pub fn put_settings(&self) {
         let file = self.dir.join("settings.jsonc");
         let (code, text) = self.cli(&["settings", "put", &file.display().to_string()]);
         assert_eq!(code, 0, "{text}");
     }
 
-    /// Puts a changed tree in force; returns its revision.
+    /// Changes the settings tree in force and returns the revision of the changed tree.
     ///
     /// # Panics
     ///
@@ -426,10 +434,10 @@
         revision
     }
 
-    /// Waits until every router sees as many servers (groups and services)
-    /// as wanted; whether it came so in time.
+    /// Waits until every router has exactly `wanted` servers (groups and services); returns whether
+    /// that was so within `limit`.
     pub async fn wait_servers(&self, wanted: usize, limit: Duration) -> bool {
-        self.until(limit, async || {
+        self.wait_until(limit, async || {
             for n in 0..self.routers.len() {
                 let status = self.router_status(n).await;
                 if status.map_or(0, |s| s.servers) != wanted {
@@ -441,10 +449,10 @@
         .await
     }
 
-    /// Waits until every router has a revision in force; whether it came so
-    /// in time.
+    /// Waits until every router has a revision of the settings or a newer one in force; returns
+    /// whether that was so within `limit`.
     pub async fn wait_revision(&self, revision: u64, limit: Duration) -> bool {
-        self.until(limit, async || {
+        self.wait_until(limit, async || {
             for n in 0..self.routers.len() {
                 let status = self.router_status(n).await;
                 if status.map_or(0, |s| s.revision) < revision {
@@ -456,14 +464,18 @@
         .await
     }
 
-    /// Waits for something to become true; whether it did in time.
-    pub async fn until(&self, limit: Duration, mut test: impl AsyncFnMut() -> bool) -> bool {
-        let end = Instant::now() + limit;
-        while Instant::now() < end {
-            if test().await {
+    /// Polls a condition until it is true; returns whether that was so within `limit`.
+    pub async fn wait_until(
+        &self,
+        limit: Duration,
+        mut condition: impl AsyncFnMut() -> bool,
+    ) -> bool {
+        let deadline = Instant::now() + limit;
+        while Instant::now() < deadline {
+            if condition().await {
                 return true;
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         false
     }
@@ -480,12 +492,12 @@
     }
 }
 
-/// An address of the loopback range that no other test process uses, so that
-/// fixed ports do not meet.
-fn own_ip() -> IpAddr {
+/// Returns a loopback address derived from the process id and the number of the deployment, so
+/// that the fixed ports of deployments that run at the same time do not collide.
+fn unused_loopback_ip() -> IpAddr {
     let pid = std::process::id();
-    let turn = DEPLOYMENTS.fetch_add(1, Ordering::Relaxed);
+    let deployment = NEXT_DEPLOYMENT.fetch_add(1, Ordering::Relaxed);
     let high = 1 + (pid >> 8) % 250;
     let low = pid & 0xff;
-    IpAddr::V4(Ipv4Addr::new(127, high as u8, low as u8, turn))
+    IpAddr::V4(Ipv4Addr::new(127, high as u8, low as u8, deployment))
 }
--- a/crates/thistlesill-standins/src/harness/process.rs
+++ b/crates/thistlesill-standins/src/harness/process.rs
@@ -1,4 +1,4 @@
-//! A child process that ends with its owner.
+//! A child process that is killed when its handle is dropped.
 
 use std::fs::File;
 use std::path::{Path, PathBuf};
@@ -8,21 +8,21 @@
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 
-/// Between two looks at a process that is to end.
-const LOOK: Duration = Duration::from_millis(20);
+/// Interval between two checks of whether a process has exited.
+const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A running process.
+/// A child process with its log file, killed on drop.
 #[derive(Debug)]
-pub struct Child {
+pub struct ChildProcess {
     inner: std::process::Child,
     log: PathBuf,
 }
 
-/// The path of one of the project's binaries: beside the running one.
+/// Returns the path of one of the project's binaries, which lies beside the running one.
 ///
 /// # Panics
 ///
-/// If the running program's path is not known.
+/// If the path of the running program is unknown.
 pub fn binary(name: &str) -> PathBuf {
     let exe = std::env::current_exe().expect("the program's own path");
     let mut dir = exe.parent().expect("a folder").to_owned();
@@ -32,25 +32,25 @@
     dir.join(name)
 }
 
-impl Child {
-    /// Starts a binary of the project, its output in a log file.
+impl ChildProcess {
+    /// Starts a binary of the project and appends its output to a log file.
     ///
     /// # Panics
     ///
-    /// If it cannot be started: the workspace must be built first.
+    /// If the binary cannot be started: the workspace must be built first.
     pub fn start(name: &str, arguments: &[&Path], log: &Path) -> Self {
         let file = File::options()
             .create(true)
             .append(true)
             .open(log)
             .expect("a log file");
-        let again = file.try_clone().expect("a log file");
+        let stderr = file.try_clone().expect("a log file");
         let path = binary(name);
         let inner = Command::new(&path)
             .args(arguments)
             .stdin(Stdio::null())
             .stdout(Stdio::from(file))
-            .stderr(Stdio::from(again))
+            .stderr(Stdio::from(stderr))
             .spawn()
             .unwrap_or_else(|e| panic!("{}: {e}; build the workspace first", path.display()));
         Self {
@@ -59,20 +59,20 @@
         }
     }
 
-    /// What it wrote.
+    /// Returns what the process has written to its log file.
     pub fn log(&self) -> String {
         std::fs::read_to_string(&self.log).unwrap_or_default()
     }
 
-    /// Processor time used so far.
-    pub fn processor_time(&self) -> Duration {
+    /// Returns the CPU time used so far, from the scheduler's statistics of the main thread.
+    pub fn cpu_time(&self) -> Duration {
         let path = format!("/proc/{}/schedstat", self.inner.id());
         let text = std::fs::read_to_string(path).unwrap_or_default();
         let first = text.split_whitespace().next();
         Duration::from_nanos(first.and_then(|n| n.parse().ok()).unwrap_or(0))
     }
 
-    /// Memory that it holds, in kilobytes.
+    /// Returns the resident memory in kilobytes.
     pub fn resident_kb(&self) -> u64 {
         let path = format!("/proc/{}/status", self.inner.id());
         let text = std::fs::read_to_string(path).unwrap_or_default();
@@ -81,47 +81,47 @@
         number.and_then(|n| n.parse().ok()).unwrap_or(0)
     }
 
-    /// Tells it to stop.
+    /// Sends SIGTERM, which asks the process to stop.
     pub fn stop(&self) {
         self.signal(Signal::SIGTERM);
     }
 
-    /// Freezes it.
-    pub fn freeze(&self) {
+    /// Sends SIGSTOP, which suspends the process.
+    pub fn suspend(&self) {
         self.signal(Signal::SIGSTOP);
     }
 
-    /// Lets it go on.
-    pub fn thaw(&self) {
+    /// Sends SIGCONT, which resumes a suspended process.
+    pub fn resume(&self) {
         self.signal(Signal::SIGCONT);
     }
 
-    /// Ends it at once.
+    /// Kills the process and waits for its end.
     pub fn kill(&mut self) {
         drop(self.inner.kill());
         drop(self.inner.wait());
     }
 
-    /// Waits until it has ended; whether it ended well in time.
-    pub async fn ended(&mut self, limit: Duration) -> bool {
-        let until = Instant::now() + limit;
-        while Instant::now() < until {
+    /// Waits until the process has exited; returns whether it exited successfully within `limit`.
+    pub async fn wait_for_exit(&mut self, limit: Duration) -> bool {
+        let deadline = Instant::now() + limit;
+        while Instant::now() < deadline {
             if let Ok(Some(status)) = self.inner.try_wait() {
                 return status.success();
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(EXIT_POLL_INTERVAL).await;
         }
         false
     }
 
     fn signal(&self, signal: Signal) {
         let pid = Pid::from_raw(self.inner.id().cast_signed());
-        // A process that has ended takes no signal.
+        // Fails if the process has exited.
         let _ = kill(pid, signal);
     }
 }
 
-impl Drop for Child {
+impl Drop for ChildProcess {
     fn drop(&mut self) {
         self.kill();
     }
--- a/crates/thistlesill-standins/src/lib.rs
+++ b/crates/thistlesill-standins/src/lib.rs
@@ -1,8 +1,8 @@
-//! Small stand-ins of the platform and of the systems served, for tests and
-//! the demo. They are not shipped.
+//! Small stand-ins of the platform and of the model engines, for tests, the demo and the benchmark.
+//! They are not shipped.
 //!
-//! Each keeps count of what it really did, so that a test can hold the
-//! system's answers against it.
+//! Each stand-in counts what it did, so that a test can compare these counts with the answers of
+//! the daemons.
 
 pub mod engine;
 pub mod faults;
--- a/crates/thistlesill-standins/src/main.rs
+++ b/crates/thistlesill-standins/src/main.rs
@@ -1,6 +1,6 @@
-//! Runs a fleet of stand-ins until it is ended.
+//! Runs a fleet of stand-ins until the process is ended.
 //!
-//! The type of the command line is generated from its description below.
+//! The type of the command line is generated from the description below.
 #![allow(missing_docs)]
 
 use std::path::PathBuf;
@@ -39,7 +39,7 @@
         .build()
         .expect("the runtime starts");
     let fleet = Fleet::new(&file, key);
-    log::info!("standins: {} targets", fleet.places().len());
+    log::info!("standins: serving {} targets", fleet.instances().len());
     runtime.block_on(fleet.serve(file.platform));
     Ok(())
 }
--- a/crates/thistlesill-standins/src/platform.rs
+++ b/crates/thistlesill-standins/src/platform.rs
@@ -1,5 +1,5 @@
-//! The platform: table service, object store, list of instances, and the
-//! tests' levers.
+//! Stand-in of the platform: table service, object store and list of instances, with routes for
+//! tests to inject faults and read counts.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -17,50 +17,50 @@
 use crate::faults::{Fault, TableMode};
 use crate::fleet::Fleet;
 
-/// Bytes of a request's body at most.
-const MAX_BODY: usize = 64 << 20;
+/// Bounds the body of a request.
+const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// The platform's state.
+/// State of the platform's services.
 #[derive(Debug, Default)]
 pub struct PlatformState {
-    /// The table.
+    /// Rows of the table service.
     pub table: Mutex<Table>,
-    /// How the table behaves.
+    /// Behaviour of the table service, set by [`Fault::Table`].
     pub mode: Mutex<TableMode>,
-    /// The list as it is read.
+    /// List of instances as daemons read it; may be frozen by a fault.
     pub listed: Mutex<Vec<ListedInstance>>,
     objects: Mutex<HashMap<String, Vec<u8>>>,
 }
 
-/// What happened at the platform and its targets.
+/// What the platform and its targets did.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlatformCounts {
-    /// Transactions.
+    /// Transactions that the table has processed.
     pub transactions: u64,
-    /// Reads.
+    /// Reads that the table has answered.
     pub reads: u64,
-    /// What happened at the targets.
+    /// What the targets did.
     pub targets: Counts,
 }
 
-/// The platform's routes.
+/// Returns the platform's routes.
 pub fn router(fleet: &Arc<Fleet>) -> Router {
-    let on = |call: Call| PlatformHandler {
+    let on = |route: Route| PlatformHandler {
         fleet: fleet.clone(),
-        call,
+        route,
     };
     Router::new()
-        .push(Router::with_path("table/txn").post(on(Call::Txn)))
-        .push(Router::with_path("table/read").post(on(Call::Read)))
-        .push(Router::with_path("instances").get(on(Call::List)))
-        .push(Router::with_path("objects/{key}").put(on(Call::PutObject)))
-        .push(Router::with_path("objects/{key}").get(on(Call::GetObject)))
-        .push(Router::with_path("fault").post(on(Call::Fault)))
-        .push(Router::with_path("counts").get(on(Call::Counts)))
+        .push(Router::with_path("table/txn").post(on(Route::Txn)))
+        .push(Router::with_path("table/read").post(on(Route::Read)))
+        .push(Router::with_path("instances").get(on(Route::List)))
+        .push(Router::with_path("objects/{key}").put(on(Route::PutObject)))
+        .push(Router::with_path("objects/{key}").get(on(Route::GetObject)))
+        .push(Router::with_path("fault").post(on(Route::Fault)))
+        .push(Router::with_path("counts").get(on(Route::Counts)))
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Call {
+enum Route {
     Txn,
     Read,
     List,
@@ -73,7 +73,7 @@
 #[derive(Debug, Clone)]
 struct PlatformHandler {
     fleet: Arc<Fleet>,
-    call: Call,
+    route: Route,
 }
 
 #[handler]
@@ -86,24 +86,24 @@
         _ctrl: &mut FlowCtrl,
     ) {
         let state = &self.fleet.platform;
-        match self.call {
-            Call::Txn => self.txn(req, res).await,
-            Call::Read => self.read(req, res).await,
-            Call::List => res.render(Json(lock(&state.listed).clone())),
-            Call::PutObject => put_object(state, req, res).await,
-            Call::GetObject => get_object(state, req, res),
-            Call::Fault => self.fault(req, res).await,
-            Call::Counts => res.render(Json(self.counts())),
+        match self.route {
+            Route::Txn => self.txn(req, res).await,
+            Route::Read => self.read(req, res).await,
+            Route::List => res.render(Json(lock(&state.listed).clone())),
+            Route::PutObject => put_object(state, req, res).await,
+            Route::GetObject => get_object(state, req, res),
+            Route::Fault => self.fault(req, res).await,
+            Route::Counts => res.render(Json(self.counts())),
         }
     }
 }
 
 impl PlatformHandler {
     async fn txn(&self, req: &mut Request, res: &mut Response) {
-        let Some(txn) = body::<Txn>(req, res).await else {
+        let Some(txn) = parse_body::<Txn>(req, res).await else {
             return;
         };
-        let mode = self.behave(res).await;
+        let mode = self.apply_mode(res).await;
         if mode == TableMode::Down {
             return;
         }
@@ -116,18 +116,18 @@
     }
 
     async fn read(&self, req: &mut Request, res: &mut Response) {
-        let Some(read) = body::<Read>(req, res).await else {
+        let Some(read) = parse_body::<Read>(req, res).await else {
             return;
         };
-        if self.behave(res).await == TableMode::Down {
+        if self.apply_mode(res).await == TableMode::Down {
             return;
         }
         let rows = lock(&self.fleet.platform.table).read(&read);
         res.render(Json(rows));
     }
 
-    /// Waits or fails as the table is told to.
-    async fn behave(&self, res: &mut Response) -> TableMode {
+    /// Delays or refuses the answer as the table's mode says, and returns the mode.
+    async fn apply_mode(&self, res: &mut Response) -> TableMode {
         let mode = *lock(&self.fleet.platform.mode);
         match mode {
             TableMode::Slow { ms } => tokio::time::sleep(Duration::from_millis(ms)).await,
@@ -140,7 +140,7 @@
     }
 
     async fn fault(&self, req: &mut Request, res: &mut Response) {
-        if let Some(fault) = body::<Fault>(req, res).await {
+        if let Some(fault) = parse_body::<Fault>(req, res).await {
             self.fleet.apply(&fault);
             res.render(Json("done"));
         }
@@ -151,13 +151,17 @@
         PlatformCounts {
             transactions,
             reads,
-            targets: lock(&self.fleet.common.counts).clone(),
+            targets: lock(&self.fleet.context.counts).clone(),
         }
     }
 }
 
-async fn body<T: for<'de> Deserialize<'de>>(req: &mut Request, res: &mut Response) -> Option<T> {
-    let bytes = req.payload_with_max_size(MAX_BODY).await.ok()?;
+/// Parses a request's body of JSON; sets status 400 if the JSON is malformed.
+async fn parse_body<T: for<'de> Deserialize<'de>>(
+    req: &mut Request,
+    res: &mut Response,
+) -> Option<T> {
+    let bytes = req.payload_with_max_size(MAX_BODY_BYTES).await.ok()?;
     if let Ok(value) = serde_json::from_slice(bytes) {
         Some(value)
     } else {
@@ -168,7 +172,7 @@
 
 async fn put_object(state: &PlatformState, req: &mut Request, res: &mut Response) {
     let key = req.param::<String>("key").unwrap_or_default();
-    match req.payload_with_max_size(MAX_BODY).await {
+    match req.payload_with_max_size(MAX_BODY_BYTES).await {
         Ok(bytes) => {
             lock(&state.objects).insert(key, bytes.to_vec());
         }
--- a/crates/thistlesill-standins/src/words.rs
+++ b/crates/thistlesill-standins/src/words.rs
@@ -1,5 +1,5 @@
-//! The text that a stand-in engine writes: a fixed function of the prompt
-//! and the position, so that a test knows the whole answer beforehand.
+//! Text that the stand-in engines generate: a pure function of the prompt and the position, so that
+//! a test can compute the complete answer in advance.
 
 use serde::Deserialize;
 
@@ -8,52 +8,54 @@
     "route", "snow", "pass", "permit", "evening", "draft", "vote", "carried", "without",
 ];
 
-/// Tokens that an answer has if the request does not say.
-pub const DEFAULT_TOKENS: u32 = 24;
+/// Length of an answer in tokens if the request does not set one.
+pub const DEFAULT_ANSWER_TOKENS: u32 = 24;
 
 /// The fields of a completion request that a stand-in engine reads.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Body {
-    /// The model.
+pub struct CompletionRequest {
+    /// Name of the requested model.
     pub model: String,
-    /// Chat messages.
+    /// Messages of a chat completion.
     #[serde(default)]
     pub messages: Vec<Message>,
-    /// Prompt of a plain completion.
+    /// Prompt of a text completion.
     #[serde(default)]
     pub prompt: String,
-    /// Tokens wanted.
+    /// Requested length of the answer in tokens.
     pub max_tokens: Option<u32>,
 }
 
-/// A chat message.
+/// A message of a chat.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Message {
-    /// Who speaks.
+    /// Role of the speaker; `assistant` marks text of the model.
     pub role: String,
-    /// What.
+    /// Text of the message.
     pub content: String,
 }
 
-impl Body {
-    /// The text that the answer depends on: all but what an assistant has
-    /// begun to say.
+impl CompletionRequest {
+    /// Returns the text that the answer depends on: all messages but those of the assistant.
+    ///
+    /// A router that continues an answer on another engine sends the part delivered so far as a
+    /// message of the assistant, which must not change the rest.
     pub fn prompt_text(&self) -> String {
-        let said = self.messages.iter().filter(|m| m.role != "assistant");
-        let mut text: Vec<&str> = said.map(|m| m.content.as_str()).collect();
+        let inputs = self.messages.iter().filter(|m| m.role != "assistant");
+        let mut text: Vec<&str> = inputs.map(|m| m.content.as_str()).collect();
         if !self.prompt.is_empty() {
             text.push(&self.prompt);
         }
         text.join("\n")
     }
 
-    /// How many tokens the answer has.
-    pub fn tokens(&self) -> u32 {
-        self.max_tokens.unwrap_or(DEFAULT_TOKENS)
+    /// Returns the length of the answer in tokens.
+    pub fn answer_tokens(&self) -> u32 {
+        self.max_tokens.unwrap_or(DEFAULT_ANSWER_TOKENS)
     }
 }
 
-/// The token at a position of the answer to a prompt.
+/// Returns the token at a position of the answer to a prompt.
 pub fn token(prompt: &str, position: u32) -> String {
     let seed = rapidhash::v3::rapidhash_v3(prompt.as_bytes());
     let step = rapidhash::v3::rapidhash_v3(&(seed ^ u64::from(position)).to_le_bytes());
@@ -61,7 +63,7 @@
     format!("{word}{position} ")
 }
 
-/// The whole answer to a prompt.
+/// Returns the complete answer of `tokens` tokens to a prompt.
 pub fn answer(prompt: &str, tokens: u32) -> String {
     (0..tokens).map(|i| token(prompt, i)).collect()
 }
--- a/crates/thistlesill-standins/tests/it.rs
+++ b/crates/thistlesill-standins/tests/it.rs
@@ -1,4 +1,5 @@
-//! Whole fleets as separate processes on loopback, under kill, pause and cut.
+//! Tests of complete deployments as separate processes on loopback, with processes and instances
+//! killed or paused, and an unavailable table.
 //!
 //! The workspace's binaries must be built first, as `scripts/test` does.
 
--- a/crates/thistlesill-standins/tests/it/client.rs
+++ b/crates/thistlesill-standins/tests/it/client.rs
@@ -1,8 +1,8 @@
-//! The operators' client, as a new user would meet it.
+//! Tests of the operators' client: help, errors, settings and views of the fleet.
 
 use thistlesill_standins::harness::{Deployment, binary};
 
-use crate::support::{serving, small};
+use crate::support::{serving, small_fleet};
 
 fn run(arguments: &[&str]) -> (i32, String) {
     let output = std::process::Command::new(binary("thistlesill"))
@@ -52,32 +52,32 @@
 
 #[test]
 fn daemons_check_their_settings_before_a_port_is_opened() {
-    let deployment = Deployment::prepare(small());
+    let deployment = Deployment::prepare(small_fleet());
     let config = deployment.dir.join("h-r0.jsonc");
-    let check = |program: &str, text: &str| {
-        std::fs::write(&config, text).expect("a file");
+    let check = |program: &str, contents: &str| {
+        std::fs::write(&config, contents).expect("a file");
         let output = std::process::Command::new(binary(program))
             .arg(&config)
             .arg("--check")
             .output()
             .expect("the daemon starts");
-        let said = String::from_utf8_lossy(&output.stderr).into_owned();
-        (output.status.code(), said)
+        let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+        (output.status.code(), stderr)
     };
     let good = std::fs::read_to_string(&config).expect("a file");
     assert_eq!(check("thistlesill-router", &good).0, Some(0));
-    let (code, said) = check(
+    let (code, stderr) = check(
         "thistlesill-router",
         &good.replace("\"callers\"", "\"caller\""),
     );
     assert_eq!(code, Some(2));
-    assert!(said.contains("did you mean `callers`?"), "{said}");
-    let (code, said) = check(
+    assert!(stderr.contains("did you mean `callers`?"), "{stderr}");
+    let (code, stderr) = check(
         "thistlesill-router",
         &good.replace("\"lease_ms\": 2500", "\"lease_ms\": 25"),
     );
     assert_eq!(code, Some(2));
-    assert!(said.contains("three times"), "{said}");
+    assert!(stderr.contains("three times"), "{stderr}");
 }
 
 #[tokio::test]
@@ -110,7 +110,7 @@
     let (code, text) = deployment.cli(&["settings", "put", &second, "--rebase"]);
     assert_eq!(code, 0, "{text}");
     let (code, text) = deployment.cli(&["settings", "put", &third, "--rebase"]);
-    assert_eq!(code, 3, "both changed the root: {text}");
+    assert_eq!(code, 3, "both edits changed the root branch: {text}");
     let (_, resolved) = deployment.cli(&["settings", "get", "--resolved", "--customer", "nashua"]);
     assert!(
         resolved
@@ -136,10 +136,15 @@
     let deployment = serving().await;
     let caller = deployment.caller(0, "lowell");
     let answer = caller
-        .chat(thistlesill_standins::harness::Kind::Whole, "m", "x", 3)
+        .chat(
+            thistlesill_standins::harness::AnswerMode::Complete,
+            "m",
+            "x",
+            3,
+        )
         .await
         .expect("an answer");
-    for words in [
+    for arguments in [
         vec!["groups"],
         vec!["instances"],
         vec!["status"],
@@ -147,13 +152,13 @@
         vec!["explain", "request", &answer.request],
         vec!["timeline", "--request", &answer.request],
     ] {
-        let (code, text) = deployment.cli(&words);
-        assert_eq!(code, 0, "{words:?}: {text}");
-        let with_json: Vec<&str> = ["--json"].into_iter().chain(words.clone()).collect();
-        let (code, text) = deployment.cli(&with_json);
-        assert_eq!(code, 0, "{words:?}");
+        let (code, text) = deployment.cli(&arguments);
+        assert_eq!(code, 0, "{arguments:?}: {text}");
+        let json_arguments: Vec<&str> = ["--json"].into_iter().chain(arguments.clone()).collect();
+        let (code, text) = deployment.cli(&json_arguments);
+        assert_eq!(code, 0, "{arguments:?}");
         let first = text.lines().next().unwrap_or_default();
-        assert!(first.starts_with(['{', '[']), "{words:?}: {text}");
+        assert!(first.starts_with(['{', '[']), "{arguments:?}: {text}");
     }
     let (code, text) = deployment.cli(&["explain", "group", "h-1.9"]);
     assert_eq!(code, 1);
--- a/crates/thistlesill-standins/tests/it/outages.rs
+++ b/crates/thistlesill-standins/tests/it/outages.rs
@@ -1,23 +1,23 @@
-//! The platform's table down, slow or losing answers.
+//! Tests with the table down or losing answers, a suspended planner, and a leaving target.
 
 use std::time::Duration;
 
 use thistlesill_core::ErrorKind;
 use thistlesill_core::error::Ran;
 use thistlesill_standins::faults::{Fault, TableMode};
-use thistlesill_standins::harness::Kind;
+use thistlesill_standins::harness::AnswerMode;
 use thistlesill_standins::words;
 
-use crate::support::{MODEL, SERVERS, SOON, serving};
+use crate::support::{MODEL, SERVERS, WAIT_TIMEOUT, serving};
 
 #[tokio::test]
 async fn serving_goes_on_and_keyed_requests_are_refused_as_not_run() {
     let deployment = serving().await;
-    deployment.fault(&Fault::Table(TableMode::Down)).await;
-    // Longer than a lease.
+    deployment.inject(&Fault::Table(TableMode::Down)).await;
+    // Longer than the lease length of 2.5 s.
     tokio::time::sleep(Duration::from_secs(4)).await;
     let caller = deployment.caller(0, "lowell");
-    let answer = caller.chat(Kind::Streamed, MODEL, "outage", 20).await;
+    let answer = caller.chat(AnswerMode::Streamed, MODEL, "outage", 20).await;
     assert_eq!(answer.expect("an answer").text, words::answer("outage", 20));
     let keyed = caller.clone().with_header("idempotency-key", "k");
     let error = keyed.plain("booking", "bunks", "{}").await;
@@ -28,14 +28,14 @@
     assert!(answer.body.error.retry_after_ms.is_some());
     let counts = deployment.counts().await.expect("counts");
     assert!(!counts.targets.runs.contains_key("k"));
-    deployment.fault(&Fault::Table(TableMode::Up)).await;
+    deployment.inject(&Fault::Table(TableMode::Up)).await;
     let limit = Duration::from_secs(10);
     let served = deployment
-        .until(limit, async || {
+        .wait_until(limit, async || {
             keyed.plain("booking", "bunks", "{}").await.is_ok()
         })
         .await;
-    assert!(served, "the key is free when the table is back");
+    assert!(served, "the key is free once the table answers again");
     let counts = deployment.counts().await.expect("counts");
     assert_eq!(counts.targets.runs["k"], 1);
 }
@@ -44,7 +44,7 @@
 async fn lost_answers_lose_nothing_and_double_nothing() {
     let deployment = serving().await;
     deployment
-        .fault(&Fault::Table(TableMode::LoseAnswers))
+        .inject(&Fault::Table(TableMode::LoseAnswers))
         .await;
     for n in 0..8 {
         let key = format!("lost-{n}");
@@ -54,8 +54,8 @@
             .plain("booking", "bunks", "{}")
             .await
             .expect("served");
-        let again = caller.plain("booking", "bunks", "{}").await;
-        if let Err(error) = again {
+        let repeated = caller.plain("booking", "bunks", "{}").await;
+        if let Err(error) = repeated {
             let code = error.answer().map(|a| a.body.error.code);
             assert_eq!(code, Some(ErrorKind::KeyHeld));
         }
@@ -71,41 +71,41 @@
         let root = tree.branches.get_mut("/").expect("a root");
         root.slots = Some(12);
     });
-    // Down as soon as one daemon has it: the others hear it from that one.
+    // The table goes down once one daemon has the revision, so the others get it from that peer.
     let limit = Duration::from_secs(3);
-    let heard = deployment
-        .until(limit, async || {
+    let first_applied = deployment
+        .wait_until(limit, async || {
             let status = deployment.router_status(0).await;
             status.is_ok_and(|s| s.revision == revision)
         })
         .await;
-    deployment.fault(&Fault::Table(TableMode::Down)).await;
-    assert!(heard);
+    deployment.inject(&Fault::Table(TableMode::Down)).await;
+    assert!(first_applied);
     assert!(
         deployment.wait_revision(revision, limit).await,
         "in force everywhere"
     );
     deployment.router(1).kill();
     deployment.start_router(1);
-    let again = deployment
-        .until(Duration::from_secs(10), async || {
+    let restarted = deployment
+        .wait_until(Duration::from_secs(10), async || {
             let status = deployment.router_status(1).await;
             status.is_ok_and(|s| s.revision == revision && s.servers == SERVERS)
         })
         .await;
     assert!(
-        again,
-        "a daemon that starts in the outage learns it from a peer"
+        restarted,
+        "a daemon that starts during the outage gets the settings from a peer"
     );
     let caller = deployment.caller(1, "lowell");
-    let answer = caller.chat(Kind::Whole, MODEL, "x", 5).await;
+    let answer = caller.chat(AnswerMode::Complete, MODEL, "x", 5).await;
     assert_eq!(answer.expect("an answer").text, words::answer("x", 5));
 }
 
 #[tokio::test]
 async fn frozen_holder_is_replaced_and_harmless_when_it_returns() {
     let mut deployment = serving().await;
-    let (_, planners) = deployment.sizes();
+    let (_, planners) = deployment.daemon_counts();
     let mut holder = None;
     for n in 0..planners {
         let status: Result<thistlesill_policy::planner::PlannerStatus, _> = deployment
@@ -116,20 +116,20 @@
         }
     }
     let holder = holder.expect("a holder");
-    deployment.planner(holder).freeze();
+    deployment.planner(holder).suspend();
     let fault = Fault::Kill {
         instance: "d-00".into(),
     };
-    deployment.fault(&fault).await;
+    deployment.inject(&fault).await;
     assert!(
-        deployment.wait_servers(SERVERS - 1, SOON).await,
-        "the group is gone"
+        deployment.wait_servers(SERVERS - 1, WAIT_TIMEOUT).await,
+        "the group has ended"
     );
     assert!(
-        deployment.wait_servers(SERVERS, SOON).await,
-        "the other planner repairs it"
+        deployment.wait_servers(SERVERS, WAIT_TIMEOUT).await,
+        "the other planner replaces the group"
     );
-    deployment.planner(holder).thaw();
+    deployment.planner(holder).resume();
     tokio::time::sleep(Duration::from_secs(3)).await;
     assert!(
         deployment
@@ -137,7 +137,7 @@
             .await
     );
     let caller = deployment.caller(0, "lowell");
-    let answer = caller.chat(Kind::Streamed, MODEL, "y", 20).await;
+    let answer = caller.chat(AnswerMode::Streamed, MODEL, "y", 20).await;
     assert_eq!(answer.expect("an answer").text, words::answer("y", 20));
     let counts = deployment.counts().await.expect("counts");
     assert_eq!(counts.targets.incomplete_tokens, 0);
@@ -150,13 +150,13 @@
         instance: "d-00".into(),
         leaving: true,
     };
-    deployment.fault(&leave).await;
+    deployment.inject(&leave).await;
     let begun = std::time::Instant::now();
     let mut n = 0_usize;
     while begun.elapsed() < Duration::from_secs(6) {
         let caller = deployment.caller(n % 2, "lowell");
         caller
-            .chat(Kind::Whole, MODEL, &format!("q{n}"), 2)
+            .chat(AnswerMode::Complete, MODEL, &format!("q{n}"), 2)
             .await
             .expect("an answer");
         n += 1;
--- a/crates/thistlesill-standins/tests/it/support.rs
+++ b/crates/thistlesill-standins/tests/it/support.rs
@@ -1,4 +1,4 @@
-//! A small fleet with short periods.
+//! Support for the tests: a small fleet with short periods.
 
 use std::time::Duration;
 
@@ -8,16 +8,16 @@
 use thistlesill_fakes::{DomainSpec, EngineOptions, FleetFile, HallSpec};
 use thistlesill_standins::harness::{Deployment, Options};
 
-/// The model of the small fleet.
+/// Model that the small fleet serves.
 pub(crate) const MODEL: &str = "m";
-/// Groups and services of the small fleet.
+/// Servers of the small fleet: two groups and a service.
 pub(crate) const SERVERS: usize = 3;
-/// Ample time for what should come soon.
-pub(crate) const SOON: Duration = Duration::from_secs(30);
+/// Generous timeout for changes that should come soon.
+pub(crate) const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// One hall with nine instances, two groups of four, one spare and a plain
+/// Returns a fleet of one hall with nine instances (two groups of four and a spare) and a plain
 /// service.
-pub(crate) fn small() -> Options {
+pub(crate) fn small_fleet() -> Options {
     Options {
         fleet: FleetFile {
             platform: "127.0.0.1:1".parse().expect("an address"),
@@ -95,18 +95,18 @@
     }
 }
 
-/// A small fleet whose groups all serve.
+/// Starts the small fleet and waits until its two groups and its service serve.
 pub(crate) async fn serving() -> Deployment {
-    serving_with(small()).await
+    serving_with(small_fleet()).await
 }
 
-/// A fleet whose two groups and one service all serve.
+/// Starts a variant of the small fleet and waits until its two groups and its service serve.
 pub(crate) async fn serving_with(options: Options) -> Deployment {
     let deployment = Deployment::start(options).await;
     deployment.put_settings();
     assert!(
-        deployment.wait_servers(SERVERS, SOON).await,
-        "groups formed"
+        deployment.wait_servers(SERVERS, WAIT_TIMEOUT).await,
+        "the groups formed"
     );
     deployment
 }
